--- a/packages/router/src/answer_sender.ts
+++ b/packages/router/src/answer_sender.ts
@@ -15,7 +15,7 @@
   FRAME_KINDS,
   type LoadReport,
 } from "./link_codec.ts";
-import type { Outcome } from "./work.ts";
+import type { Outcome } from "./routed_request.ts";
 
 /** Answers up to this size leave at once, in bytes: about 12 ms of a link of 10 Mbit/s. */
 const SMALL_BYTES = 16_384;
--- a/packages/router/src/answer_sender_test.ts
+++ b/packages/router/src/answer_sender_test.ts
@@ -9,8 +9,8 @@
 import { FrameSocket } from "./frame_socket.ts";
 import { LinkClient } from "./link_client.ts";
 import { encodeFrame, type Frame, FRAME_KINDS } from "./link_codec.ts";
-import { WORK } from "./testing/work.ts";
-import { notRun, type Outcome } from "./work.ts";
+import { SAMPLE_REQUEST } from "./testing/sample_request.ts";
+import { notRun, type Outcome } from "./routed_request.ts";
 
 const LOAD = { waitMs: 0, utilization: 0, serviceMs: 1, failureShare: 0 };
 /** Slow enough that a large answer takes several turns. */
@@ -45,7 +45,7 @@
   await Promise.all(
     outcomes.map(() =>
       new Promise<void>((resolve, reject) =>
-        link.send(WORK, {
+        link.send(SAMPLE_REQUEST, {
           onAcknowledged: () => undefined,
           onOutcome: (outcome) => {
             come.push(outcome);
--- a/packages/router/src/attempt_history.ts
+++ b/packages/router/src/attempt_history.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { notRun, type Outcome } from "./work.ts";
+import { notRun, type Outcome } from "./routed_request.ts";
 
 /** How a request ended, with what explains it afterwards. */
 export interface Ending {
@@ -42,7 +42,7 @@
   }
 
   /** How many connections to backend servers broke under the request. */
-  get lostRuns(): number {
+  get brokenConnections(): number {
     return this.lost;
   }
 
--- a/packages/router/src/attempt_history_test.ts
+++ b/packages/router/src/attempt_history_test.ts
@@ -5,7 +5,7 @@
  */
 import { expect } from "chai";
 import { AttemptHistory } from "./attempt_history.ts";
-import { notRun, type Outcome, unknown } from "./work.ts";
+import { notRun, type Outcome, unknown } from "./routed_request.ts";
 
 const FAILURE: Outcome = {
   kind: "answer",
--- a/packages/router/src/backend_keeper.ts
+++ b/packages/router/src/backend_keeper.ts
@@ -339,7 +339,7 @@
     const spentMs = answeredMs - nowMs;
     const longestHoldMs = tenure.longestHoldMs(nowMs);
     const grant = grants.answer({ longestHoldMs, nowMs: answeredMs, spentMs });
-    backend.noteGranted();
+    backend.onKeysGranted();
     return grant.holdMs > 0 ? grant : undefined;
   }
 
@@ -364,7 +364,7 @@
     this.drainingSinceMs = isDraining
       ? Math.min(this.drainingSinceMs, steadyMs())
       : Infinity;
-    backend.identify(
+    backend.updateIdentity(
       last === undefined || phase === "absent" ? undefined : {
         instance: last.instance,
         born: last.born,
@@ -372,7 +372,7 @@
         slots: last.slots,
         phase,
         isKeyed: isKeyed(last.service),
-        handOverUntilMs: this.handOverUntilMs,
+        forwardUntilMs: this.handOverUntilMs,
         coldUntilMs: this.coldUntilMs,
         coldLimit: this.context.coldLimit(last.service),
       },
--- a/packages/router/src/backend_board.ts
+++ b/packages/router/src/backend_load_tracker.ts
@@ -24,7 +24,7 @@
 }
 
 /** The last load reports, and what was sent since. */
-export class BackendBoard {
+export class BackendLoadTracker {
   private readonly entries = new Map<string, Entry>();
   private readonly times = RouteTimes.create();
   private readonly sizes = new Map<string, number>();
@@ -32,12 +32,12 @@
   private constructor() {}
 
   /** Creates an empty board. */
-  static create(): BackendBoard {
-    return new BackendBoard();
+  static create(): BackendLoadTracker {
+    return new BackendLoadTracker();
   }
 
   /** Notes what a daemon says of its backend server. */
-  noteLoad(daemon: string, load: ServerLoad, nowMs: number): void {
+  recordLoad(daemon: string, load: ServerLoad, nowMs: number): void {
     const entry = this.entryOf(daemon);
     entry.load = load;
     entry.reportedAtMs = nowMs;
@@ -45,12 +45,12 @@
   }
 
   /** Notes what a daemon says of its backend server and of the requests of one route there. */
-  noteRoute(
+  recordRouteLoad(
     daemon: string,
     told: { route: string; load: LoadReport; nowMs: number },
   ): void {
     const { route, load, nowMs } = told;
-    this.noteLoad(daemon, load, nowMs);
+    this.recordLoad(daemon, load, nowMs);
     if (load.serviceMs > 0) {
       this.times.note(daemon, route, {
         serviceMs: load.serviceMs,
@@ -60,7 +60,7 @@
   }
 
   /** Notes how many bytes a request of a route and its answer had. */
-  noteSize(route: string, bytes: number): void {
+  recordSize(route: string, bytes: number): void {
     const known = this.sizes.get(route) ?? bytes;
     this.sizes.set(route, known + SIZE_RATE * (bytes - known));
   }
@@ -76,12 +76,12 @@
   }
 
   /** Notes a request that was sent to a daemon. */
-  noteSent(daemon: string): void {
+  recordSent(daemon: string): void {
     this.entryOf(daemon).sentSinceReport += 1;
   }
 
   /** Notes that a daemon could not be reached. */
-  noteUnreachable(daemon: string, nowMs: number): void {
+  markUnreachable(daemon: string, nowMs: number): void {
     this.entryOf(daemon).avoidUntilMs = nowMs + AVOID_MS;
   }
 
--- a/packages/router/src/cancellation.ts
+++ b/packages/router/src/cancellation.ts
@@ -23,7 +23,7 @@
   }
 
   /** Creates one that ends by itself. */
-  static createAfter(milliseconds: number): Cancellation {
+  static createWithTimeout(milliseconds: number): Cancellation {
     const cancellation = new Cancellation();
     setTimeout(() => cancellation.cancel("deadline"), milliseconds).unref();
     return cancellation;
--- a/packages/router/src/exchange_test.ts
+++ b/packages/router/src/exchange_test.ts
@@ -25,7 +25,7 @@
   const result = await connection.exchange(
     { method: "GET", target: "/", headers: ["host", "x"], body: undefined },
     {
-      cancellation: Cancellation.createAfter(2_000),
+      cancellation: Cancellation.createWithTimeout(2_000),
       nowMs: () => 0,
       ...options,
     },
@@ -102,7 +102,7 @@
       const connection = Connection.create("127.0.0.1:1");
       const result = await connection.exchange(
         { method: "GET", target: "/", headers: [], body: undefined },
-        { cancellation: Cancellation.createAfter(2_000), nowMs: () => 0 },
+        { cancellation: Cancellation.createWithTimeout(2_000), nowMs: () => 0 },
       );
       await connection.destroy();
       expect(result).to.deep.include({ kind: "unsent", isRefused: true });
--- a/packages/router/src/forwarder.ts
+++ b/packages/router/src/forwarder.ts
@@ -10,7 +10,12 @@
 import { steadyMs } from "./clock.ts";
 import { LinkClient, type LinkRequest } from "./link_client.ts";
 import type { LoadReport } from "./link_codec.ts";
-import { notRun, type Outcome, unknown, type Work } from "./work.ts";
+import {
+  notRun,
+  type Outcome,
+  type RoutedRequest,
+  unknown,
+} from "./routed_request.ts";
 
 /** A link on which nothing was sent for so long is closed, in milliseconds: most pairs of daemons rest. */
 const IDLE_MS = 20_000;
@@ -49,7 +54,7 @@
   }
 
   /** Sends a request to a daemon. It never throws. */
-  forward(work: Work, to: ForwardTarget): Promise<Outcome> {
+  forward(work: RoutedRequest, to: ForwardTarget): Promise<Outcome> {
     const { cancellation, mayGiveUp } = to;
     if (cancellation.isCancelled) {
       return Promise.resolve(notRun("cancelled"));
@@ -143,7 +148,7 @@
   }
 
   private noteUnreachable(
-    work: Work,
+    work: RoutedRequest,
     loss: { daemon: string; cause: BamboolinkError | undefined },
   ): void {
     const { daemon, cause } = loss;
--- a/packages/router/src/ingress.ts
+++ b/packages/router/src/ingress.ts
@@ -32,12 +32,16 @@
 import type {
   CallerProtocol,
   CallerRequest,
-  OwnOutcome,
-  OwnRejection,
+  RouterOutcome,
+  RouterRejection,
 } from "./ports/caller_protocol.ts";
 import type { LoopLag } from "./loop_lag.ts";
 import type { RequestRunner } from "./request_runner.ts";
-import type { Outcome, RefusalReason, Work } from "./work.ts";
+import type {
+  Outcome,
+  RefusalReason,
+  RoutedRequest,
+} from "./routed_request.ts";
 
 /** What the answer's way back to the caller takes, in milliseconds: the deadline is met there. */
 const WAY_BACK_MS = 8;
@@ -78,7 +82,7 @@
 }
 
 /** Work as its entrance sees it. */
-interface CallerWork extends Work {
+interface CallerWork extends RoutedRequest {
   /** Until when the request must start to meet its objective, as a rule. */
   readonly latestStartMs: number;
   /** When the caller gives up, whatever its route allows. */
@@ -187,7 +191,7 @@
     const { protocol, configuration, metrics, lag } = this.context;
     const arrivedMs = steadyMs() - lag.currentMs;
     response.sendDate = false;
-    await lag.catchUp({ isFirst: this.isFirst(incoming.socket) });
+    await lag.awaitPendingReads({ isFirst: this.isFirst(incoming.socket) });
     if (hasLeft(incoming)) {
       response.destroy();
       return undefined;
@@ -240,7 +244,7 @@
   /** Tells a caller that its request can't be served as it is. */
   private reject(
     response: ServerResponse,
-    outcome: OwnRejection,
+    outcome: RouterRejection,
     request?: Pick<CallerRequest, "id">,
   ): void {
     const { logger, metrics, configuration } = this.context;
@@ -371,7 +375,7 @@
       latestStartMs: arrivedMs +
         (route.objectiveMs - waitedMs) * (1 - USUAL_SERVICE_SHARE),
       deadlineAtMs: arrivedMs + patienceMs,
-      lostRuns: 0,
+      brokenConnections: 0,
       mayEndLate: !this.order.isFollowed(incoming.socket, route.name),
       callerLeavesAtMs: arrivedMs + (request.deadlineMs ?? route.timeoutMs),
       method: incoming.method ?? "GET",
@@ -386,7 +390,7 @@
 
   /** Runs a request until it has an outcome, its deadline passes or its caller leaves. */
   private async runUntilDeadline(
-    work: Work,
+    work: RoutedRequest,
     response: ServerResponse,
     route: TrafficRoute,
   ): Promise<Ending> {
@@ -468,7 +472,7 @@
 
   /** Tells of an answer by which the backend server itself found the request wrong. */
   private noteUnusual(
-    work: Work,
+    work: RoutedRequest,
     end: {
       outcome: Extract<Outcome, { kind: "answer" }>;
       peer: string | undefined;
@@ -546,7 +550,7 @@
 
   private refuse(
     response: ServerResponse,
-    outcome: OwnOutcome,
+    outcome: RouterOutcome,
     request?: Pick<CallerRequest, "id">,
   ): void {
     // A body that can't be read is answered with its connection.
--- a/packages/router/src/link_client.ts
+++ b/packages/router/src/link_client.ts
@@ -14,7 +14,7 @@
   FRAME_KINDS,
   type LoadReport,
 } from "./link_codec.ts";
-import type { Outcome, Work } from "./work.ts";
+import type { Outcome, RoutedRequest } from "./routed_request.ts";
 
 /** How long a new connection may take, in milliseconds. All peers are within a few milliseconds. */
 const CONNECT_TIMEOUT_MS = 400;
@@ -107,7 +107,7 @@
   }
 
   /** Sends a request; its number names it from now on. */
-  send(work: Work, listener: LinkListener): number {
+  send(work: RoutedRequest, listener: LinkListener): number {
     this.lastId += 1;
     const id = this.lastId;
     const sentAtMs = this.nowMs();
--- a/packages/router/src/link_codec.ts
+++ b/packages/router/src/link_codec.ts
@@ -10,7 +10,12 @@
 import { BamboolinkError } from "@bamboolink/errors";
 import { z } from "zod";
 import type { AnswerHeaders } from "./exchange.ts";
-import type { Outcome, RefusalReason, UnknownReason, Work } from "./work.ts";
+import type {
+  Outcome,
+  RefusalReason,
+  RoutedRequest,
+  UnknownReason,
+} from "./routed_request.ts";
 
 /** What a frame says. */
 export const FRAME_KINDS = {
@@ -195,7 +200,11 @@
 }
 
 /** Makes the frame that carries a request to another daemon. */
-export function encodeWork(id: number, work: Work, nowMs: number): Buffer {
+export function encodeWork(
+  id: number,
+  work: RoutedRequest,
+  nowMs: number,
+): Buffer {
   const head: z.infer<typeof WorkHead> = [
     work.id,
     work.service,
@@ -207,7 +216,7 @@
     Math.round(work.objectiveAtMs - nowMs),
     Math.round(work.deadlineAtMs - nowMs),
     work.mayEndLate,
-    work.lostRuns,
+    work.brokenConnections,
     work.method,
     work.target,
     work.headers,
@@ -223,7 +232,7 @@
  * far as a truncated one would be noticed: a whole check by the schema costs as much as the rest of the
  * decoding. The tests hold all that is written against the schema.
  */
-export function decodeWork(frame: Frame, nowMs: number): Work {
+export function decodeWork(frame: Frame, nowMs: number): RoutedRequest {
   const fields = asList<z.infer<typeof WorkHead>>(
     frame.head,
     WorkHead.def.items.length,
@@ -239,7 +248,7 @@
     objectiveAtMs: nowMs + fields[7],
     deadlineAtMs: nowMs + fields[8],
     mayEndLate: fields[9],
-    lostRuns: fields[10],
+    brokenConnections: fields[10],
     method: fields[11],
     target: fields[12],
     headers: fields[13],
--- a/packages/router/src/link_server.ts
+++ b/packages/router/src/link_server.ts
@@ -17,7 +17,7 @@
 } from "./link_codec.ts";
 import type { LocalBackend } from "./local_backend.ts";
 import type { LoopLag } from "./loop_lag.ts";
-import { notRun, type Outcome, type Work } from "./work.ts";
+import { notRun, type Outcome, type RoutedRequest } from "./routed_request.ts";
 
 /**
  * A request that is not answered by then is acknowledged, in milliseconds. Many are answered sooner, and
@@ -34,7 +34,7 @@
 /** What the server needs. */
 export interface LinkServerContext {
   readonly logger: Logger;
-  readonly backend: Pick<LocalBackend, "attempt" | "reportOn">;
+  readonly backend: Pick<LocalBackend, "attempt" | "loadReportFor">;
   readonly answers: AnswerSender;
   readonly lag: LoopLag;
   readonly nowMs: () => number;
@@ -42,7 +42,7 @@
 
 /** One request of another daemon. */
 interface Running {
-  readonly work: Work;
+  readonly work: RoutedRequest;
   readonly cancellation: Cancellation;
   readonly arrivedMs: number;
   isAcknowledged: boolean;
@@ -174,10 +174,10 @@
   ): Promise<void> {
     const { backend, answers, lag, logger } = this.context;
     const { route, objectiveAtMs } = work;
-    await lag.catchUp({ isFirst: false });
+    await lag.awaitPendingReads({ isFirst: false });
     const leaving = leaveTime(work, answers.expect(route), {
       nowMs: this.context.nowMs(),
-      serviceMs: backend.reportOn(route).serviceMs,
+      serviceMs: backend.loadReportFor(route).serviceMs,
     });
     answers.noteRunning(route, 1);
     const outcome = await this.run(leaving, cancellation)
@@ -188,7 +188,7 @@
     answers.noteRunning(route, -1);
     if (link.running.delete(id) && cancellation.reason !== "cancelled") {
       const { frames } = link;
-      const load = backend.reportOn(route);
+      const load = backend.loadReportFor(route);
       // Whoever chooses among servers chooses among the links to them, too.
       const serviceMs = load.serviceMs + answers.expect(route).inTimeMs;
       answers.send(
@@ -199,7 +199,10 @@
     }
   }
 
-  private run(work: Work, cancellation: Cancellation): Promise<Outcome> {
+  private run(
+    work: RoutedRequest,
+    cancellation: Cancellation,
+  ): Promise<Outcome> {
     const { backend, lag } = this.context;
     if (this.isStopping) {
       return Promise.resolve(notRun("stopping"));
@@ -216,10 +219,10 @@
  * whose answers can't arrive in time, at the cost of those that could.
  */
 function leaveTime(
-  work: Work,
+  work: RoutedRequest,
   { inTimeMs, lateMs }: LinkDelay,
   now: { nowMs: number; serviceMs: number },
-): Work {
+): RoutedRequest {
   if (lateMs === 0) {
     return work;
   }
--- a/packages/router/src/link_server_test.ts
+++ b/packages/router/src/link_server_test.ts
@@ -16,8 +16,8 @@
 } from "./link_codec.ts";
 import { LinkServer } from "./link_server.ts";
 import { LoopLag } from "./loop_lag.ts";
-import { WORK } from "./testing/work.ts";
-import type { Outcome } from "./work.ts";
+import { SAMPLE_REQUEST } from "./testing/sample_request.ts";
+import type { Outcome } from "./routed_request.ts";
 
 const LOAD = { waitMs: 0, utilization: 0, serviceMs: 1, failureShare: 0 };
 /** More than the buffers of both ends of a loopback connection hold, in bytes. */
@@ -30,7 +30,7 @@
     logger: Logger.createBounded("test", { level: "error" }),
     backend: {
       attempt: () => Promise.resolve(answer),
-      reportOn: () => LOAD,
+      loadReportFor: () => LOAD,
     },
     answers: AnswerSender.create(Infinity, nowMs),
     lag: LoopLag.create(TICK_MS, nowMs),
@@ -50,7 +50,7 @@
   socket.pause();
   const { greeting: kind } = FRAME_KINDS;
   socket.write(encodeFrame({ kind, id: 0, head: [LINK_FORMAT] }));
-  socket.write(encodeWork(1, WORK, performance.now()));
+  socket.write(encodeWork(1, SAMPLE_REQUEST, performance.now()));
   return socket;
 }
 
--- a/packages/router/src/link_test.ts
+++ b/packages/router/src/link_test.ts
@@ -25,8 +25,13 @@
   WorkHead,
 } from "./link_codec.ts";
 import { LinkClient } from "./link_client.ts";
-import { WORK } from "./testing/work.ts";
-import { notRun, type Outcome, unknown, type Work } from "./work.ts";
+import { SAMPLE_REQUEST } from "./testing/sample_request.ts";
+import {
+  notRun,
+  type Outcome,
+  type RoutedRequest,
+  unknown,
+} from "./routed_request.ts";
 
 const LOAD = {
   waitMs: 12,
@@ -36,7 +41,7 @@
 };
 const SEED = 20_261_202;
 
-const anyWork: fc.Arbitrary<Work> = fc.record({
+const anyWork: fc.Arbitrary<RoutedRequest> = fc.record({
   id: fc.string(),
   service: fc.string(),
   route: fc.string(),
@@ -47,7 +52,7 @@
   objectiveAtMs: fc.integer({ min: -5_000, max: 5_000 }),
   deadlineAtMs: fc.integer({ min: 0, max: 60_000 }),
   mayEndLate: fc.boolean(),
-  lostRuns: fc.nat(3),
+  brokenConnections: fc.nat(3),
   method: fc.constantFrom("GET", "POST"),
   target: fc.string({ unit: "binary" }),
   headers: fc.array(fc.tuple(fc.string(), fc.string({ unit: "binary" })))
@@ -137,7 +142,7 @@
 /** Sends one request; resolves with what its listener hears first. */
 function sendOne(link: LinkClient): Promise<"sent" | "unsent" | Outcome> {
   return new Promise((resolve) => {
-    link.send(WORK, {
+    link.send(SAMPLE_REQUEST, {
       onAcknowledged: () => undefined,
       onSilent: () => undefined,
       onOutcome: (outcome) => resolve(outcome),
@@ -242,7 +247,7 @@
         onUnreachable: (daemon) => unreachable.push(daemon),
       });
       const forward = (mayGiveUp: boolean) =>
-        forwarder.forward(WORK, {
+        forwarder.forward(SAMPLE_REQUEST, {
           daemon: peer.address,
           cancellation: Cancellation.create(),
           mayGiveUp: () => mayGiveUp,
--- a/packages/router/src/local_backend.ts
+++ b/packages/router/src/local_backend.ts
@@ -32,9 +32,9 @@
   notRun,
   type Outcome,
   type RefusalReason,
+  type RoutedRequest,
   unknown,
-  type Work,
-} from "./work.ts";
+} from "./routed_request.ts";
 
 /**
  * How long a connection may have been idle to be used again for idempotent requests, in milliseconds:
@@ -85,7 +85,7 @@
   readonly phase: MemberPhase;
   readonly isKeyed: boolean;
   /** After this nothing is handed over any more, on the steady clock; infinite while it takes work. */
-  readonly handOverUntilMs: number;
+  readonly forwardUntilMs: number;
   /** Until when it is cold, on the steady clock. */
   readonly coldUntilMs: number;
   /** Most requests in one second while it is cold; 0 where that is not known. */
@@ -124,7 +124,7 @@
   }
 
   /** Takes over what the backend server says of itself; `undefined` when it is gone. */
-  identify(identity: BackendIdentity | undefined): void {
+  updateIdentity(identity: BackendIdentity | undefined): void {
     const isSameProcess = identity !== undefined &&
       this.identity !== undefined && isSame(identity, this.identity);
     if (!isSameProcess) {
@@ -141,7 +141,7 @@
   }
 
   /** How busy the backend server is, and how long requests of a route take there. */
-  reportOn(route: string): LoadReport {
+  loadReportFor(route: string): LoadReport {
     return {
       waitMs: this.waitMs,
       utilization: this.utilization,
@@ -218,7 +218,7 @@
   }
 
   /** The backend server was granted keys: requests that waited for them look again. */
-  noteGranted(): void {
+  onKeysGranted(): void {
     this.grantWaits.forEach((look) => look());
   }
 
@@ -228,7 +228,7 @@
   }
 
   override async attempt(
-    work: Work,
+    work: RoutedRequest,
     cancellation: Cancellation,
   ): Promise<Outcome> {
     const { quarantine } = this.context;
@@ -238,7 +238,7 @@
       return refused;
     }
     const estimateMs = this.estimate(work);
-    if (quarantine.judge(work).kind !== "suspect") {
+    if (quarantine.classify(work).kind !== "suspect") {
       return await this.runAdmitted(work, { cancellation, estimateMs });
     }
     return await this.probation.run(work, { cancellation, estimateMs }, () => {
@@ -250,7 +250,7 @@
     });
   }
 
-  private estimate(work: Work): number {
+  private estimate(work: RoutedRequest): number {
     const nowMs = steadyMs();
     return this.times.estimate(work.route, {
       objectiveMs: work.objectiveAtMs - nowMs,
@@ -260,7 +260,7 @@
 
   /** Runs a request when a slot is free for it. */
   private async runAdmitted(
-    work: Work,
+    work: RoutedRequest,
     entry: {
       cancellation: Cancellation;
       estimateMs: number;
@@ -285,7 +285,7 @@
       : admitted;
   }
 
-  private checkService(work: Work): Outcome | undefined {
+  private checkService(work: RoutedRequest): Outcome | undefined {
     const { identity } = this;
     if (identity === undefined || identity.phase === "absent") {
       return notRun("no_backend");
@@ -298,21 +298,21 @@
       : notRun(leavingReason(identity));
   }
 
-  private checkQuarantine(work: Work): Outcome | undefined {
-    const standing = this.context.quarantine.judge(work);
+  private checkQuarantine(work: RoutedRequest): Outcome | undefined {
+    const standing = this.context.quarantine.classify(work);
     return standing.kind === "quarantined"
       ? notRun("quarantined", { waitMs: standing.remainingMs })
       : undefined;
   }
 
   /** One that leaves is handed requests for a while longer only for keys, which nobody else can serve. */
-  private isTaking({ phase, isKeyed, handOverUntilMs }: BackendIdentity) {
-    return phase === "ready" || isKeyed && steadyMs() <= handOverUntilMs;
+  private isTaking({ phase, isKeyed, forwardUntilMs }: BackendIdentity) {
+    return phase === "ready" || isKeyed && steadyMs() <= forwardUntilMs;
   }
 
   /** Requests for a key wait until the backend server holds it, if it is to hold it. */
   private async awaitKey(
-    work: Work,
+    work: RoutedRequest,
     cancellation: Cancellation,
   ): Promise<Outcome | undefined> {
     const { grants } = this.context;
@@ -358,7 +358,7 @@
   }
 
   private awaitSlot(
-    work: Work,
+    work: RoutedRequest,
     entry: { id: number; estimateMs: number; cancellation: Cancellation },
   ): Promise<"run" | Outcome> {
     const { id, estimateMs, cancellation } = entry;
@@ -396,7 +396,7 @@
 
   /** From here on bytes may reach the backend server. */
   private async handOver(
-    work: Work,
+    work: RoutedRequest,
     slot: { id: number; cancellation: Cancellation; isOnProbation: boolean },
   ): Promise<Outcome> {
     const startedMs = steadyMs();
@@ -421,7 +421,7 @@
   }
 
   /** While a request waited, the key may have gone, the server may leave, or servers may have ended under it. */
-  private checkAgain(work: Work): Outcome | undefined {
+  private checkAgain(work: RoutedRequest): Outcome | undefined {
     const { grants } = this.context;
     const quarantined = this.checkQuarantine(work);
     if (quarantined !== undefined) {
@@ -440,12 +440,12 @@
     if (identity === undefined || identity.service !== work.service) {
       return notRun("no_backend");
     }
-    return steadyMs() > identity.handOverUntilMs
+    return steadyMs() > identity.forwardUntilMs
       ? notRun(leavingReason(identity))
       : undefined;
   }
 
-  private describe(work: Work, nowMs: number) {
+  private describe(work: RoutedRequest, nowMs: number) {
     const details = this.context.protocol.requestHeaders({
       deadlineLeftMs: Math.max(1, Math.floor(work.deadlineAtMs - nowMs)),
       instance: this.identity?.instance ?? "",
@@ -456,7 +456,7 @@
   }
 
   private judge(
-    work: Work,
+    work: RoutedRequest,
     end: { result: ExchangeResult; connection: Connection },
   ): Outcome {
     const { result, connection } = end;
@@ -475,7 +475,7 @@
   }
 
   private judgeAnswer(
-    work: Work,
+    work: RoutedRequest,
     end: {
       answer: Extract<ExchangeResult, { kind: "answer" }>;
       connection: Connection;
@@ -500,16 +500,16 @@
   }
 
   private tellQuarantine(
-    work: Work,
+    work: RoutedRequest,
     end: { outcome: Outcome; isOnProbation: boolean },
   ): void {
     const { outcome, isOnProbation } = end;
     const { quarantine, onSuspicion } = this.context;
     if (outcome.kind === "answer") {
-      quarantine.noteAnswered(work);
+      quarantine.recordResponse(work);
     }
     if (outcome.kind === "unknown" && outcome.reason === "backend_lost") {
-      quarantine.noteLost(work, isOnProbation);
+      quarantine.recordBrokenConnection(work, isOnProbation);
       // While others run on, only this connection has broken.
       if (this.queue.runningCount === 0) {
         onSuspicion("lost");
@@ -518,7 +518,7 @@
   }
 
   private learn(
-    work: Work,
+    work: RoutedRequest,
     end: { outcome: Outcome; tookMs: number },
   ): void {
     const { outcome, tookMs } = end;
--- a/packages/router/src/local_backend_test.ts
+++ b/packages/router/src/local_backend_test.ts
@@ -19,13 +19,13 @@
 import { LocalBackend } from "./local_backend.ts";
 import type { BackendProtocol } from "./ports/backend_protocol.ts";
 import { RequestQuarantine } from "./request_quarantine.ts";
-import { WORK } from "./testing/work.ts";
-import type { Work } from "./work.ts";
+import { SAMPLE_REQUEST } from "./testing/sample_request.ts";
+import type { RoutedRequest } from "./routed_request.ts";
 
 const SLOTS = 4;
 
-const ask = (target: string): Work => ({
-  ...WORK,
+const ask = (target: string): RoutedRequest => ({
+  ...SAMPLE_REQUEST,
   target,
   objectiveAtMs: steadyMs() + 1_000,
   deadlineAtMs: steadyMs() + 2_000,
@@ -65,8 +65,8 @@
     logger,
     random: () => 0,
     nowMs: steadyMs,
-    tellAll: () => undefined,
-    tellSome: () => undefined,
+    broadcast: () => undefined,
+    sendToSome: () => undefined,
   });
   const { port } = server.address() as AddressInfo;
   const backend = LocalBackend.create({
@@ -80,14 +80,14 @@
     quarantine,
     onSuspicion: () => undefined,
   });
-  backend.identify({
+  backend.updateIdentity({
     instance: "i-1",
     born: undefined,
-    service: WORK.service,
+    service: SAMPLE_REQUEST.service,
     slots: SLOTS,
     phase: "ready",
     isKeyed: false,
-    handOverUntilMs: Infinity,
+    forwardUntilMs: Infinity,
     coldUntilMs: -Infinity,
     coldLimit: 0,
   });
@@ -111,11 +111,11 @@
     // just ended, which nobody had noticed yet.
     it("has only the first quarantined", async () => {
       const { backend, quarantine } = createBackend(server);
-      const attempt = (work: Work) =>
+      const attempt = (work: RoutedRequest) =>
         backend.attempt(work, Cancellation.create());
       await Promise.all(["/a", "/b"].map((target) => attempt(ask(target))));
       const suspects = ["/lethal", "/popular"].map(ask);
-      quarantine.take({
+      quarantine.applyUpdate({
         kind: "crash_reports",
         sender: "other",
         suspected: suspects.map((
@@ -125,8 +125,8 @@
       const outcomes = await Promise.all(suspects.map(attempt));
       expect(outcomes.map(({ kind }) => kind))
         .to.deep.equal(["unknown", "unknown"]);
-      quarantine.noteEnded({ instance: "i-1", proof: "refused" });
-      expect(suspects.map((work) => quarantine.judge(work).kind))
+      quarantine.recordBackendEnd({ instance: "i-1", proof: "refused" });
+      expect(suspects.map((work) => quarantine.classify(work).kind))
         .to.deep.equal(["quarantined", "suspect"]);
       await backend.close();
     });
--- a/packages/router/src/loop_lag.ts
+++ b/packages/router/src/loop_lag.ts
@@ -45,7 +45,7 @@
   }
 
   /** The timer has fired. */
-  noteTick(): void {
+  recordTick(): void {
     const lagMs = this.overdueMs();
     this.largestMs = Math.max(this.largestMs, lagMs);
     this.lags = [...this.lags, lagMs].slice(-REMEMBERED);
@@ -53,7 +53,7 @@
   }
 
   /** The largest lag since the last call, in milliseconds, for the log. */
-  takeLargestMs(): number {
+  takeMaxMs(): number {
     const { largestMs } = this;
     this.largestMs = 0;
     return largestMs;
@@ -84,7 +84,7 @@
    * end of a connection is read in the turn after its last bytes, so it takes the rest of this turn and
    * all of the next.
    */
-  async catchUp(request: { isFirst: boolean }): Promise<void> {
+  async awaitPendingReads(request: { isFirst: boolean }): Promise<void> {
     if (request.isFirst || this.currentMs > 0) {
       await nextTurn();
       await nextTurn();
--- a/packages/router/src/loop_lag_test.ts
+++ b/packages/router/src/loop_lag_test.ts
@@ -18,7 +18,7 @@
   };
   const tickAfter = (byMs: number) => {
     pass(byMs);
-    lag.noteTick();
+    lag.recordTick();
   };
   return { lag, pass, tickAfter };
 }
@@ -76,7 +76,7 @@
     ): Promise<boolean> {
       return new Promise((resolve) => {
         const serve = async (incoming: IncomingMessage) => {
-          await lag.catchUp(request);
+          await lag.awaitPendingReads(request);
           resolve(hasLeft(incoming));
         };
         const server = createServer((incoming) => void serve(incoming));
--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -9,8 +9,8 @@
 export {
   CallerProtocol,
   type CallerRequest,
-  type OwnAnswer,
-  type OwnOutcome,
+  type RouterOutcome,
+  type RouterResponse,
 } from "./ports/caller_protocol.ts";
 export {
   type AnswerVerdict,
--- a/packages/router/src/peer_questions.ts
+++ b/packages/router/src/peer_questions.ts
@@ -131,7 +131,10 @@
     target: question.target,
     headers: ["host", peer],
     body: question.body === undefined ? undefined : Buffer.from(question.body),
-  }, { cancellation: Cancellation.createAfter(TIMEOUT_MS), nowMs: steadyMs })
+  }, {
+    cancellation: Cancellation.createWithTimeout(TIMEOUT_MS),
+    nowMs: steadyMs,
+  })
     .finally(() => void connection.destroy());
   return ResultAsync.fromSafePromise(exchange).andThen((result) => {
     if (result.kind !== "answer") {
--- a/packages/router/src/ports/caller_protocol.ts
+++ b/packages/router/src/ports/caller_protocol.ts
@@ -16,14 +16,14 @@
 }
 
 /** An answer of the router's own. */
-export interface OwnAnswer {
+export interface RouterResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
 }
 
 /** What the router itself has to say of a request. */
-export type OwnOutcome =
+export type RouterOutcome =
   /** It surely has not run and never will. */
   | {
     readonly kind: "not_run";
@@ -36,10 +36,10 @@
     readonly reason: string;
     readonly isDeadline: boolean;
   }
-  | OwnRejection;
+  | RouterRejection;
 
 /** The request can't be served as it is, here or elsewhere, now or later. */
-export type OwnRejection =
+export type RouterRejection =
   /** No route leads anywhere. */
   | { readonly kind: "no_route" }
   /** It is larger than allowed. */
@@ -56,7 +56,10 @@
   abstract read(headers: IncomingHttpHeaders): CallerRequest | undefined;
 
   /** Writes an answer of the router's own. */
-  abstract write(outcome: OwnOutcome, requestId: string | undefined): OwnAnswer;
+  abstract write(
+    outcome: RouterOutcome,
+    requestId: string | undefined,
+  ): RouterResponse;
 
   /** Whether a request to the readiness address asks for readiness. */
   abstract isReadinessCheck(method: string, target: string): boolean;
--- a/packages/router/src/probation.ts
+++ b/packages/router/src/probation.ts
@@ -6,7 +6,7 @@
 import { ProbationLane } from "@bamboolink/quarantine";
 import type { Cancellation } from "./cancellation.ts";
 import { steadyMs } from "./clock.ts";
-import { notRun, type Outcome, type Work } from "./work.ts";
+import { notRun, type Outcome, type RoutedRequest } from "./routed_request.ts";
 
 /** One suspect's way through the lane. */
 export interface ProbationEntry {
@@ -30,7 +30,7 @@
 
   /** Runs a suspect when no other one runs here, or refuses it if that would be too late. */
   async run(
-    work: Work,
+    work: RoutedRequest,
     entry: ProbationEntry,
     runNow: () => Promise<Outcome>,
   ): Promise<Outcome> {
--- a/packages/router/src/probe_backend.ts
+++ b/packages/router/src/probe_backend.ts
@@ -24,7 +24,7 @@
     headers: ["host", address],
     body: undefined,
   }, {
-    cancellation: Cancellation.createAfter(PROBE_TIMEOUT_MS),
+    cancellation: Cancellation.createWithTimeout(PROBE_TIMEOUT_MS),
     nowMs: steadyMs,
   });
   void connection.destroy();
--- a/packages/router/src/request_quarantine.ts
+++ b/packages/router/src/request_quarantine.ts
@@ -15,7 +15,7 @@
 } from "@bamboolink/quarantine";
 import type { BackendEnd } from "./backend_keeper.ts";
 import type { Datagram } from "./datagram_codec.ts";
-import type { Work } from "./work.ts";
+import type { RoutedRequest } from "./routed_request.ts";
 
 /** Time between two retellings of what is quarantined, in milliseconds: a daemon that starts knows soon. */
 const RETELL_MS = 1_000;
@@ -27,7 +27,7 @@
 const CRASH_IDS = 2 ** 32;
 
 /** What one daemon tells others of requests under which servers ended. */
-export type QuarantineNews = Extract<
+export type QuarantineUpdate = Extract<
   Datagram,
   { kind: "crash_reports" | "cleared" }
 >;
@@ -40,9 +40,9 @@
   readonly random: () => number;
   readonly nowMs: () => number;
   /** Tells all living daemons. */
-  readonly tellAll: (news: QuarantineNews) => void;
+  readonly broadcast: (news: QuarantineUpdate) => void;
   /** Tells a few living daemons, others each time. */
-  readonly tellSome: (news: QuarantineNews) => void;
+  readonly sendToSome: (news: QuarantineUpdate) => void;
 }
 
 const CLEAR: Standing = { kind: "clear" };
@@ -54,7 +54,7 @@
   private readonly answers = RecentAnswers.create();
   private readonly tracker: PoisonRequestTracker;
   /** Names of requests that are under way: each is judged several times. */
-  private readonly names = new WeakMap<Work, string>();
+  private readonly names = new WeakMap<RoutedRequest, string>();
   /** Whether the process of the backend server has ended and no other one is known yet. */
   private hasEnded = false;
   private retoldAtMs = -Infinity;
@@ -74,14 +74,14 @@
   }
 
   /** How a request may be run. Requests are named only while there is a suspect: it costs a hash of their bodies. */
-  judge(work: Work): Standing {
+  classify(work: RoutedRequest): Standing {
     if (!this.isOfInterest(work)) {
       return CLEAR;
     }
     const nowMs = this.context.nowMs();
     const fingerprint = this.nameOf(work);
     const standing = this.tracker.judge(fingerprint, nowMs);
-    const isSuspect = standing.kind === "clear" && work.lostRuns > 0 &&
+    const isSuspect = standing.kind === "clear" && work.brokenConnections > 0 &&
       !this.tracker.isCleared(fingerprint, nowMs);
     return isSuspect ? SUSPECT : standing;
   }
@@ -90,26 +90,26 @@
    * Whether a request may be sent on from a server that is gone or has no room. A suspect is not: the server may have
    * ended under another copy of it a moment ago, and the next one would.
    *
-   * @param lostRuns how many connections to backend servers broke under it in this attempt.
+   * @param brokenConnections how many connections to backend servers broke under it in this attempt.
    */
-  maySendOn(work: Work, lostRuns: number): boolean {
+  mayRetry(work: RoutedRequest, brokenConnections: number): boolean {
     const isSuspect = !this.tracker.isEmpty &&
       this.tracker.judge(this.nameOf(work), this.context.nowMs()).kind !==
         "clear";
-    return lostRuns < LARGEST_LOST_RUNS && !isSuspect;
+    return brokenConnections < LARGEST_LOST_RUNS && !isSuspect;
   }
 
   /** Chooses the daemon beside whose backend server a suspect runs. */
   chooseProbation(
-    work: Work,
+    work: RoutedRequest,
     addresses: readonly string[],
   ): string | undefined {
     return chooseProbation(this.nameOf(work), addresses);
   }
 
   /** Notes that the backend server here has answered a request. */
-  noteAnswered(work: Work): void {
-    const { address: sender, nowMs, tellAll, logger } = this.context;
+  recordResponse(work: RoutedRequest): void {
+    const { address: sender, nowMs, broadcast, logger } = this.context;
     // A process that refused connections for a moment may be the same that answers now.
     this.hasEnded = false;
     this.lost.noteAnswered(nowMs());
@@ -120,7 +120,7 @@
     const fingerprint = this.nameOf(work);
     if (this.tracker.recordAnswer(fingerprint, nowMs())) {
       logger.log("request_cleared", { request_id: work.id, fingerprint });
-      tellAll({ kind: "cleared", sender, fingerprints: [fingerprint] });
+      broadcast({ kind: "cleared", sender, fingerprints: [fingerprint] });
     }
   }
 
@@ -129,7 +129,7 @@
    *
    * @param isOnProbation whether it ran as the only suspect there.
    */
-  noteLost(work: Work, isOnProbation: boolean): void {
+  recordBrokenConnection(work: RoutedRequest, isOnProbation: boolean): void {
     if (this.hasEnded) {
       // The process is gone already, and did not end under what comes too late for it.
       return;
@@ -143,7 +143,7 @@
   }
 
   /** Notes that the process of the backend server here has ended. */
-  noteEnded({ instance, proof }: BackendEnd): void {
+  recordBackendEnd({ instance, proof }: BackendEnd): void {
     const { logger, nowMs, random } = this.context;
     // Refused: nobody listens until the next process comes. Replaced: it is there.
     this.hasEnded = proof === "refused";
@@ -165,12 +165,12 @@
       nowMs(),
     );
     reports.forEach((report) => this.logReport(report));
-    this.tellReports(reports, this.context.tellAll);
+    this.tellReports(reports, this.context.broadcast);
     this.tellCleared(cleared);
   }
 
   /** Takes what another daemon tells. */
-  take(news: QuarantineNews): void {
+  applyUpdate(news: QuarantineUpdate): void {
     const nowMs = this.context.nowMs();
     if (news.kind === "cleared") {
       news.fingerprints.forEach((fingerprint) => {
@@ -200,11 +200,11 @@
     this.tracker.prune(nowMs);
     this.tellReports(
       this.tracker.findQuarantines(nowMs),
-      this.context.tellSome,
+      this.context.sendToSome,
     );
   }
 
-  private nameOf(work: Work): string {
+  private nameOf(work: RoutedRequest): string {
     const known = this.names.get(work);
     if (known !== undefined) {
       return known;
@@ -214,13 +214,13 @@
     return name;
   }
 
-  private isOfInterest(work: Work): boolean {
-    return work.lostRuns > 0 || !this.tracker.isEmpty;
+  private isOfInterest(work: RoutedRequest): boolean {
+    return work.brokenConnections > 0 || !this.tracker.isEmpty;
   }
 
   private tellReports(
     reports: readonly CrashReport[],
-    tell: (news: QuarantineNews) => void,
+    tell: (news: QuarantineUpdate) => void,
   ): void {
     const { address: sender } = this.context;
     inPieces(reports).forEach((piece) =>
@@ -240,9 +240,9 @@
   }
 
   private tellCleared(fingerprints: readonly string[]): void {
-    const { address: sender, tellAll } = this.context;
+    const { address: sender, broadcast } = this.context;
     inPieces(fingerprints).forEach((piece) =>
-      tellAll({ kind: "cleared", sender, fingerprints: piece })
+      broadcast({ kind: "cleared", sender, fingerprints: piece })
     );
   }
 
--- a/packages/router/src/request_quarantine_test.ts
+++ b/packages/router/src/request_quarantine_test.ts
@@ -6,11 +6,11 @@
 import { expect } from "chai";
 import { Logger } from "@bamboolink/logger";
 import {
-  type QuarantineNews,
+  type QuarantineUpdate,
   RequestQuarantine,
 } from "./request_quarantine.ts";
-import { WORK } from "./testing/work.ts";
-import type { Work } from "./work.ts";
+import { SAMPLE_REQUEST } from "./testing/sample_request.ts";
+import type { RoutedRequest } from "./routed_request.ts";
 
 const DAEMONS = ["10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"];
 /** More than one datagram tells of. */
@@ -21,17 +21,17 @@
 const STEP = 0.618;
 const END = { instance: "i-1", proof: "refused" } as const;
 
-const ask = (target: string, lostRuns = 0): Work => ({
-  ...WORK,
+const ask = (target: string, brokenConnections = 0): RoutedRequest => ({
+  ...SAMPLE_REQUEST,
   target,
-  lostRuns,
+  brokenConnections,
 });
 
 /** Daemons that hear each other when the test says so. */
 class Fleet {
   nowMs = 1_000;
   private drawn = 0;
-  readonly sent: { to: string; news: QuarantineNews }[] = [];
+  readonly sent: { to: string; news: QuarantineUpdate }[] = [];
   readonly daemons = new Map(
     DAEMONS.map((address) => [address, this.createDaemon(address)]),
   );
@@ -54,26 +54,32 @@
   deliver(order: (sent: Fleet["sent"]) => Fleet["sent"] = (sent) => sent) {
     while (this.sent.length > 0) {
       order(this.sent.splice(0)).forEach(({ to, news }) =>
-        this.daemons.get(to)!.take(news)
+        this.daemons.get(to)!.applyUpdate(news)
       );
     }
   }
 
   /** The server beside a daemon ends while it runs requests. */
-  end(index: number, runs: readonly Work[], isOnProbation = false): void {
+  end(
+    index: number,
+    runs: readonly RoutedRequest[],
+    isOnProbation = false,
+  ): void {
     const daemon = this.at(index);
-    runs.forEach((work) => daemon.noteLost(work, isOnProbation));
-    daemon.noteEnded(END);
+    runs.forEach((work) => daemon.recordBrokenConnection(work, isOnProbation));
+    daemon.recordBackendEnd(END);
   }
 
   /** How each daemon would run a request. */
-  judge(work: Work): string[] {
-    return [...this.daemons.values()].map((daemon) => daemon.judge(work).kind);
+  judge(work: RoutedRequest): string[] {
+    return [...this.daemons.values()].map((daemon) =>
+      daemon.classify(work).kind
+    );
   }
 
   private createDaemon(address: string): RequestQuarantine {
     const others = DAEMONS.filter((other) => other !== address);
-    const tell = (news: QuarantineNews) =>
+    const tell = (news: QuarantineUpdate) =>
       others.forEach((to) => this.sent.push({ to, news }));
     return RequestQuarantine.create({
       address,
@@ -83,8 +89,8 @@
         return this.drawn;
       },
       nowMs: () => this.nowMs,
-      tellAll: tell,
-      tellSome: tell,
+      broadcast: tell,
+      sendToSome: tell,
     });
   }
 }
@@ -105,9 +111,9 @@
       expect(fleet.judge(ask("/lethal"))).to.deep.equal(ALL("suspect"));
       expect(fleet.judge(ask("/beside"))).to.deep.equal(ALL("suspect"));
       expect(fleet.judge(ask("/other"))).to.deep.equal(ALL("clear"));
-      expect(fleet.at(1).maySendOn(ask("/lethal"), 1)).to.equal(false);
-      expect(fleet.at(1).maySendOn(ask("/other"), 1)).to.equal(true);
-      expect(fleet.at(1).maySendOn(ask("/other"), 2)).to.equal(false);
+      expect(fleet.at(1).mayRetry(ask("/lethal"), 1)).to.equal(false);
+      expect(fleet.at(1).mayRetry(ask("/other"), 1)).to.equal(true);
+      expect(fleet.at(1).mayRetry(ask("/other"), 2)).to.equal(false);
     });
 
     it("tells of all that it ran, however much that is", () => {
@@ -121,7 +127,7 @@
 
     // Popular requests are under way at every end. The ended process had answered them, so they have not ended it.
     it("does not suspect what the ended process had answered", () => {
-      fleet.at(0).noteAnswered(ask("/popular"));
+      fleet.at(0).recordResponse(ask("/popular"));
       fleet.end(0, [ask("/popular"), ask("/lethal")]);
       fleet.deliver();
       expect(fleet.judge(ask("/popular"))).to.deep.equal(ALL("clear"));
@@ -133,10 +139,10 @@
   // and when the next process came, and the second time nothing was known of what the ended one had answered.
   describe("when a connection to a server breaks that is known to have ended", () => {
     it("blames nothing for it, and the next process's end on what it runs", () => {
-      fleet.at(0).noteAnswered(ask("/popular"));
+      fleet.at(0).recordResponse(ask("/popular"));
       fleet.end(0, [ask("/lethal")]);
-      fleet.at(0).noteLost(ask("/popular", 1), true);
-      fleet.at(0).noteEnded({ instance: "i-1", proof: "replaced" });
+      fleet.at(0).recordBrokenConnection(ask("/popular", 1), true);
+      fleet.at(0).recordBackendEnd({ instance: "i-1", proof: "replaced" });
       fleet.deliver();
       expect(fleet.judge(ask("/popular"))).to.deep.equal(ALL("clear"));
       fleet.end(0, [ask("/other")]);
@@ -148,13 +154,13 @@
   describe("before anybody knows of an end", () => {
     it("runs alone what has lost a connection, until it is answered", () => {
       const sentOn = ask("/beside", 1);
-      expect(fleet.at(1).judge(sentOn).kind).to.equal("suspect");
-      fleet.at(1).noteAnswered(sentOn);
-      expect(fleet.at(1).judge(sentOn).kind).to.equal("clear");
+      expect(fleet.at(1).classify(sentOn).kind).to.equal("suspect");
+      fleet.at(1).recordResponse(sentOn);
+      expect(fleet.at(1).classify(sentOn).kind).to.equal("clear");
     });
 
     it("clears it when the end is told after its answer", () => {
-      fleet.at(1).noteAnswered(ask("/beside", 1));
+      fleet.at(1).recordResponse(ask("/beside", 1));
       fleet.end(0, [ask("/beside")]);
       fleet.deliver();
       expect(fleet.judge(ask("/beside"))).to.deep.equal(ALL("clear"));
@@ -190,7 +196,7 @@
       quarantine();
       fleet.nowMs += RETELLING_MS;
       fleet.daemons.forEach((daemon) => daemon.tick());
-      fleet.at(2).noteAnswered(ask("/lethal"));
+      fleet.at(2).recordResponse(ask("/lethal"));
       fleet.deliver((sent) => [...sent].reverse());
       expect(fleet.judge(ask("/lethal"))).to.deep.equal(ALL("clear"));
     });
--- a/packages/router/src/request_runner.ts
+++ b/packages/router/src/request_runner.ts
@@ -14,14 +14,19 @@
   sampleBackends,
 } from "@bamboolink/placement";
 import { AttemptHistory, type Ending } from "./attempt_history.ts";
-import type { BackendBoard } from "./backend_board.ts";
+import type { BackendLoadTracker } from "./backend_load_tracker.ts";
 import type { Cancellation } from "./cancellation.ts";
 import { steadyMs } from "./clock.ts";
 import type { Forwarder } from "./forwarder.ts";
 import type { LocalBackend } from "./local_backend.ts";
 import type { OwnershipDirectory } from "./ownership_directory.ts";
 import type { RequestQuarantine } from "./request_quarantine.ts";
-import { notRun, type Outcome, type RefusalReason, type Work } from "./work.ts";
+import {
+  notRun,
+  type Outcome,
+  type RefusalReason,
+  type RoutedRequest,
+} from "./routed_request.ts";
 
 /** Attempts for one request, refused ones included; each refusal costs a way there and back. */
 const MAXIMUM_ROUNDS = 4;
@@ -59,7 +64,7 @@
 export interface RequestRunnerContext {
   readonly logger: Logger;
   readonly view: MemberView;
-  readonly board: BackendBoard;
+  readonly loadTracker: BackendLoadTracker;
   readonly directory: OwnershipDirectory;
   readonly backend: LocalBackend;
   readonly forwarder: Forwarder;
@@ -79,21 +84,21 @@
 
   /** Runs a request; the outcome is final. */
   async run(
-    work: Work,
+    work: RoutedRequest,
     options: { maximumAttempts: number; cancellation: Cancellation },
   ): Promise<Ending> {
     const { cancellation, maximumAttempts } = options;
     const history = AttemptHistory.create();
-    const standing = this.context.quarantine.judge(work);
+    const standing = this.context.quarantine.classify(work);
     if (standing.kind === "quarantined") {
       const outcome = notRun("quarantined", { waitMs: standing.remainingMs });
       return { outcome, peer: undefined, attempts: 0 };
     }
     this.context.budget.noteRequest(work.service, steadyMs());
     for (let round = 0; round < MAXIMUM_ROUNDS; round += 1) {
-      const current = history.lostRuns === 0
+      const current = history.brokenConnections === 0
         ? work
-        : { ...work, lostRuns: history.lostRuns };
+        : { ...work, brokenConnections: history.brokenConnections };
       const target = await this.findTarget(
         current,
         history.tried,
@@ -117,7 +122,7 @@
         cancellation.isCancelled || this.isFinal(work, { target, outcome }) ||
         this.isFinalOwnerRefusal(work, outcome) ||
         endsProbation(outcome) &&
-          !this.context.quarantine.maySendOn(work, history.lostRuns)
+          !this.context.quarantine.mayRetry(work, history.brokenConnections)
       ) {
         return history.end();
       }
@@ -128,7 +133,7 @@
 
   /** Whether an attempt may be made; one that repeats what may have run draws on the budget. */
   private mayAttempt(
-    work: Work,
+    work: RoutedRequest,
     arrivals: number,
     maximumAttempts: number,
   ): boolean {
@@ -144,7 +149,7 @@
 
   /** Whether a request is better sent elsewhere than left with a daemon that says nothing. */
   private mayGiveUp(
-    work: Work,
+    work: RoutedRequest,
     at: {
       target: MemberReport;
       history: AttemptHistory;
@@ -160,19 +165,19 @@
   }
 
   private attempt(
-    work: Work,
+    work: RoutedRequest,
     to: {
       target: MemberReport;
       cancellation: Cancellation;
       mayGiveUp: () => boolean;
     },
   ): Promise<Outcome> {
-    const { view, backend, board, forwarder } = this.context;
+    const { view, backend, loadTracker, forwarder } = this.context;
     const { target, cancellation, mayGiveUp } = to;
     if (target.address === view.ownReport.address) {
       return backend.attempt(work, cancellation);
     }
-    board.noteSent(target.address);
+    loadTracker.recordSent(target.address);
     return forwarder.forward(work, {
       daemon: target.address,
       cancellation,
@@ -180,21 +185,21 @@
     });
   }
 
-  private noteSize(work: Work, outcome: Outcome): void {
+  private noteSize(work: RoutedRequest, outcome: Outcome): void {
     if (outcome.kind === "answer") {
       const bytes = (work.body?.length ?? 0) + outcome.body.length;
-      this.context.board.noteSize(work.route, bytes);
+      this.context.loadTracker.recordSize(work.route, bytes);
     }
   }
 
   /** Whether the owner of a key has refused a request in a way that another attempt can't change. */
-  private isFinalOwnerRefusal(work: Work, outcome: Outcome): boolean {
+  private isFinalOwnerRefusal(work: RoutedRequest, outcome: Outcome): boolean {
     return work.key !== undefined && outcome.kind === "not_run" &&
       FINAL_OWNER_REFUSALS.has(outcome.reason);
   }
 
   private isFinal(
-    work: Work,
+    work: RoutedRequest,
     { target, outcome }: { target: MemberReport; outcome: Outcome },
   ): boolean {
     switch (outcome.kind) {
@@ -211,12 +216,15 @@
   }
 
   /** Whether a failure that a backend server answered is its own, so that another one may answer the request. */
-  private mayOthersDoBetter(work: Work, target: MemberReport): boolean {
-    const { view, board, backend } = this.context;
+  private mayOthersDoBetter(
+    work: RoutedRequest,
+    target: MemberReport,
+  ): boolean {
+    const { view, loadTracker, backend } = this.context;
     const shareOf = (address: string) =>
       address === view.ownReport.address
         ? backend.failureShare
-        : board.failureShareOf(address);
+        : loadTracker.failureShareOf(address);
     const others = view.readyOf(work.service, steadyMs())
       .map(({ address }) => address)
       .filter((address) => address !== target.address);
@@ -224,13 +232,13 @@
   }
 
   private mayResend(
-    work: Work,
+    work: RoutedRequest,
     arrivals: number,
     maximumAttempts: number,
   ): boolean {
-    const { budget, view, board } = this.context;
+    const { budget, view, loadTracker } = this.context;
     const nowMs = steadyMs();
-    const usualMs = board.typicalMs(work.route);
+    const usualMs = loadTracker.typicalMs(work.route);
     return arrivals < maximumAttempts &&
       work.deadlineAtMs - nowMs > usualMs * USEFUL_TIME_SHARE &&
       budget.allows(work.service, {
@@ -240,7 +248,7 @@
   }
 
   private findTarget(
-    work: Work,
+    work: RoutedRequest,
     tried: ReadonlySet<string>,
     cancellation: Cancellation,
   ): Promise<MemberReport | undefined> {
@@ -251,19 +259,19 @@
   }
 
   private choose(
-    work: Work,
+    work: RoutedRequest,
     tried: ReadonlySet<string>,
   ): MemberReport | undefined {
-    const { view, board, random } = this.context;
+    const { view, loadTracker, random } = this.context;
     const nowMs = steadyMs();
     const own = view.ownReport;
     const untried = view.readyOf(work.service, nowMs)
       .filter(({ address }) => !tried.has(address));
     const reachable = untried.filter(({ address }) =>
-      !board.isAvoided(address, nowMs)
+      !loadTracker.isAvoided(address, nowMs)
     );
     const open = reachable.length > 0 ? reachable : untried;
-    if (this.context.quarantine.judge(work).kind === "suspect") {
+    if (this.context.quarantine.classify(work).kind === "suspect") {
       return this.chooseProbation(work, open);
     }
     const place = {
@@ -276,7 +284,7 @@
     const isNear = ({ availabilityZone }: MemberReport) =>
       availabilityZone === own.availabilityZone;
     const described = sampleBackends(open, { isNear, random }).map((report) =>
-      board.describe(report, place)
+      loadTracker.describe(report, place)
     );
     const candidates = tried.size === 0
       ? described
@@ -286,7 +294,7 @@
   }
 
   private chooseProbation(
-    work: Work,
+    work: RoutedRequest,
     open: readonly MemberReport[],
   ): MemberReport | undefined {
     const { quarantine, view } = this.context;
@@ -300,22 +308,22 @@
    * for ever, and requests that arrive here would all go to it, however full it is.
    */
   private noteOwnLoad(route: string, nowMs: number): void {
-    const { view, board, backend } = this.context;
-    const load = backend.reportOn(route);
-    board.noteRoute(view.ownReport.address, { route, load, nowMs });
+    const { view, loadTracker, backend } = this.context;
+    const load = backend.loadReportFor(route);
+    loadTracker.recordRouteLoad(view.ownReport.address, { route, load, nowMs });
   }
 
   /**
    * Whether a backend server may do the work in time, after another has refused it. Under overload all
    * are full: asking each would cost more than the answer that it saves.
    */
-  private hasRoom(candidate: PlacementCandidate, work: Work): boolean {
+  private hasRoom(candidate: PlacementCandidate, work: RoutedRequest): boolean {
     return steadyMs() + expectedMs(candidate) < work.objectiveAtMs;
   }
 
   /** Waits a little for a key that has just lost its owner: most get another within milliseconds. */
   private async findOwner(
-    work: Work,
+    work: RoutedRequest,
     tried: ReadonlySet<string>,
     cancellation: Cancellation,
   ): Promise<MemberReport | undefined> {
@@ -350,7 +358,7 @@
   }
 
   private logAttempt(
-    work: Work,
+    work: RoutedRequest,
     attempt: { target: MemberReport; round: number; outcome: Outcome },
   ): void {
     const { target, round, outcome } = attempt;
--- a/packages/router/src/work.ts
+++ b/packages/router/src/routed_request.ts
@@ -7,7 +7,7 @@
 import type { AnswerHeaders } from "./exchange.ts";
 
 /** A request on its way to a backend server. Times are on the steady clock of the holding daemon. */
-export interface Work {
+export interface RoutedRequest {
   readonly id: string;
   readonly service: string;
   /** Name of the route; requests of one route take about the same time. */
@@ -22,7 +22,7 @@
   /** Whether it may be served late; not if others wait behind it on its caller's connection. */
   readonly mayEndLate: boolean;
   /** How many connections to backend servers broke under it before, in this attempt of its caller. */
-  readonly lostRuns: number;
+  readonly brokenConnections: number;
   readonly method: string;
   readonly target: string;
   /** Headers to pass on, names and values in turn. */
@@ -108,5 +108,8 @@
 /** Where a request can be sent: the own backend server, or another daemon. */
 export abstract class Destination {
   /** Makes one attempt. It never throws. */
-  abstract attempt(work: Work, cancellation: Cancellation): Promise<Outcome>;
+  abstract attempt(
+    work: RoutedRequest,
+    cancellation: Cancellation,
+  ): Promise<Outcome>;
 }
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -24,7 +24,7 @@
 import { Metrics } from "@bamboolink/metrics";
 import type { Store } from "@bamboolink/store";
 import { AnswerSender } from "./answer_sender.ts";
-import { BackendBoard } from "./backend_board.ts";
+import { BackendLoadTracker } from "./backend_load_tracker.ts";
 import { BackendKeeper } from "./backend_keeper.ts";
 import { bootMs, steadyMs } from "./clock.ts";
 import { ConfigurationKeeper } from "./configuration_keeper.ts";
@@ -101,7 +101,7 @@
   private readonly metrics = Metrics.create();
   private readonly grants = GrantBook.create(bootMs());
   private readonly tenure = Tenure.create(bootMs());
-  private readonly board = BackendBoard.create();
+  private readonly board = BackendLoadTracker.create();
   private readonly questions = PeerQuestions.create();
   private readonly desk = HandoverDesk.create();
   private readonly lag = LoopLag.create(TICK_MS, steadyMs);
@@ -167,8 +167,8 @@
       logger,
       random,
       nowMs: steadyMs,
-      tellAll: (news) => this.gossip.spread(news),
-      tellSome: (news) => this.gossip.spreadToSome(news),
+      broadcast: (news) => this.gossip.spread(news),
+      sendToSome: (news) => this.gossip.spreadToSome(news),
     });
     this.evacuation = EvacuationKeeper.create({
       address: settings.gossipAddress,
@@ -212,7 +212,7 @@
       onChange: () => this.gossip.announce(),
       onFreed: (freed) => this.ownership.noteFreed(freed),
       beforeLeaving: () => this.ownership.giveUpAll(),
-      onEnded: (end) => this.quarantine.noteEnded(end),
+      onEnded: (end) => this.quarantine.recordBackendEnd(end),
       beforeGrant: () => this.meetHandovers(),
     });
     this.ownership = OwnershipKeeper.create({
@@ -265,8 +265,8 @@
     this.forwarder = Forwarder.create({
       logger,
       onLoad: (daemon, route, load) =>
-        this.board.noteRoute(daemon, { route, load, nowMs: steadyMs() }),
-      onUnreachable: (daemon) => this.board.noteUnreachable(daemon, steadyMs()),
+        this.board.recordRouteLoad(daemon, { route, load, nowMs: steadyMs() }),
+      onUnreachable: (daemon) => this.board.markUnreachable(daemon, steadyMs()),
     });
     const { resendRatio, resendExtra, resendWindowMs } = settings.bounds;
     this.budget = ResendBudget.create({
@@ -277,7 +277,7 @@
     const runner = RequestRunner.create({
       logger,
       view: this.view,
-      board: this.board,
+      loadTracker: this.board,
       directory: this.directory,
       backend: this.backend,
       forwarder: this.forwarder,
@@ -434,12 +434,12 @@
     this.logger.log("backend_load", {
       service: this.keeper.service,
       ...this.backend.takeLoadSummary(),
-      lag_ms: Math.round(this.lag.takeLargestMs()),
+      lag_ms: Math.round(this.lag.takeMaxMs()),
     });
   }
 
   private tick(): void {
-    this.lag.noteTick();
+    this.lag.recordTick();
     this.backend.tick();
     this.ownership.tick();
     this.linkServer.tick();
@@ -466,7 +466,7 @@
   private noteReports(reports: readonly MemberReport[]): void {
     const nowMs = steadyMs();
     reports.forEach((report) => {
-      this.board.noteLoad(report.address, report, nowMs);
+      this.board.recordLoad(report.address, report, nowMs);
       this.configuration.notePeer(report);
       if (report.ownershipRevision > this.directory.revision) {
         this.askOwnership(report.forwardAddress);
@@ -509,7 +509,7 @@
         return;
       case "crash_reports":
       case "cleared":
-        this.quarantine.take(datagram);
+        this.quarantine.applyUpdate(datagram);
         return;
       case "evacuation":
         this.evacuation.take(datagram);
--- a/packages/router/src/testing/work.ts
+++ b/packages/router/src/testing/sample_request.ts
@@ -3,10 +3,10 @@
  *
  * @module
  */
-import type { Work } from "../work.ts";
+import type { RoutedRequest } from "../routed_request.ts";
 
 /** A request without a key and without a body. */
-export const WORK: Work = {
+export const SAMPLE_REQUEST: RoutedRequest = {
   id: "a1",
   service: "rooms",
   route: "browse",
@@ -17,7 +17,7 @@
   objectiveAtMs: 300,
   deadlineAtMs: 800,
   mayEndLate: true,
-  lostRuns: 0,
+  brokenConnections: 0,
   method: "GET",
   target: "/rooms/7",
   headers: ["host", "rooms.example"],
