--- a/packages/router/src/ingress.ts
+++ b/packages/router/src/ingress.ts
@@ -1,5 +1,5 @@
 /**
- * The entrance for callers: finds the route of a request, runs it, and gives the caller one answer.
+ * HTTP server for callers: finds the route of each request, runs the request and sends the caller one response.
  *
  * @module
  */
@@ -43,32 +43,32 @@
   RoutedRequest,
 } from "./routed_request.ts";
 
-/** What the answer's way back to the caller takes, in milliseconds: the deadline is met there. */
-const WAY_BACK_MS = 8;
-/** What a request usually takes of its objective; operators set objectives at about three times it. */
-const USUAL_SERVICE_SHARE = 0.35;
-/** Headers above this are refused while no configuration is in force, in bytes. */
-const MAXIMUM_HEADER_BYTES = 65_536;
+/** Time reserved for delivering the response, in milliseconds: the deadline applies at the caller. */
+const RESPONSE_DELIVERY_MS = 8;
+/** Typical service time as a share of the objective: operators set objectives at about three times the service time. */
+const TYPICAL_SERVICE_SHARE = 0.35;
+/** Header size limit of the HTTP server, in bytes, and the default until a configuration is in force. */
+const MAX_HEADER_BYTES = 65_536;
 /** Limits until a configuration is in force. */
-const FIRST_LIMITS: CallerLimits = {
-  headerBytes: MAXIMUM_HEADER_BYTES,
+const INITIAL_LIMITS: CallerLimits = {
+  headerBytes: MAX_HEADER_BYTES,
   bodyBytes: 1_048_576,
   headerTimeoutMs: 10_000,
   idleTimeoutMs: 15_000,
 };
-/** Statuses from this one to the next say that a request is wrong, or belongs elsewhere. */
+/** Lowest HTTP status by which a backend server rejects or redirects a request; failures begin the next range. */
 const FIRST_UNUSUAL_STATUS = 300;
 const FIRST_FAILURE_STATUS = 500;
-/** When callers may come back to a daemon that has no configuration yet, in milliseconds. */
-const NO_CONFIGURATION_MS = 200;
+/** Retry delay for callers of a daemon that has no configuration yet, in milliseconds. */
+const NO_CONFIGURATION_RETRY_MS = 200;
 
-/** Refusals whose cause passes within a moment: keys that are handed over have a holder again soon. */
-const PASSING_REASONS: ReadonlySet<RefusalReason> = new Set([
+/** Refusals whose cause is transient: keys in a handover soon have an owner that holds them again. */
+const TRANSIENT_REASONS: ReadonlySet<RefusalReason> = new Set([
   "not_owner",
   "not_executed",
 ]);
 
-/** What the ingress needs. */
+/** Dependencies of {@link Ingress}. */
 export interface IngressContext {
   readonly protocol: CallerProtocol;
   readonly logger: Logger;
@@ -77,46 +77,46 @@
   readonly runner: RequestRunner;
   readonly lag: LoopLag;
   readonly random: () => number;
-  /** The service on this host, in whose name callers here send. */
+  /** Returns the service on this host, which requests arriving here are sent on behalf of. */
   readonly callerService: () => string;
 }
 
-/** Work as its entrance sees it. */
-interface CallerWork extends RoutedRequest {
-  /** Until when the request must start to meet its objective, as a rule. */
-  readonly latestStartMs: number;
-  /** When the caller gives up, whatever its route allows. */
-  readonly callerLeavesAtMs: number;
+/** A routed request with the times that only its caller's daemon knows, on the steady clock. */
+interface CallerRoutedRequest extends RoutedRequest {
+  /** Latest start at which a request of typical service time meets its objective. */
+  readonly latestStartAtMs: number;
+  /** When the caller gives up, whatever its route's timeout. */
+  readonly callerDeadlineAtMs: number;
 }
 
-/** The entrance for callers of one daemon. */
+/** HTTP server for the callers of one daemon. */
 export class Ingress {
-  /** Takes the callers' connections. */
+  /** Accepts the callers' connections. */
   readonly server: Server;
-  private readonly patience = CallerPatience.create();
-  private readonly split: TrafficSplit;
-  private readonly spread: ReturnType<typeof createAnswerSpread>;
-  private readonly order = ConnectionOrder.create<Socket>();
-  /** The place of each request on its connection. */
-  private readonly places = new WeakMap<ServerResponse, number>();
-  /** The place of the answer with which a connection ends, though others may have come behind it. */
-  private readonly endings = new WeakMap<Socket, number>();
-  /** Connections that have brought a request before. */
-  private readonly served = new WeakSet<Socket>();
+  private readonly waitEstimator = CallerPatience.create();
+  private readonly trafficSplit: TrafficSplit;
+  private readonly sampleRetryAfterMs: ReturnType<typeof createAnswerSpread>;
+  private readonly pipelines = ConnectionOrder.create<Socket>();
+  /** Sequence number of each request on its connection. */
+  private readonly sequenceNumbers = new WeakMap<ServerResponse, number>();
+  /** Sequence number of the response that closes a connection; requests pipelined behind it get no response. */
+  private readonly lastSequenceNumbers = new WeakMap<Socket, number>();
+  /** Connections on which a request was received before. */
+  private readonly usedSockets = new WeakSet<Socket>();
   private readonly connections: ServerConnections;
   private active = 0;
   private isStopping = false;
 
   private constructor(private readonly context: IngressContext) {
-    this.split = TrafficSplit.create(context.random);
-    this.spread = createAnswerSpread(context.random);
+    this.trafficSplit = TrafficSplit.create(context.random);
+    this.sampleRetryAfterMs = createAnswerSpread(context.random);
     this.server = createServer({
-      maxHeaderSize: MAXIMUM_HEADER_BYTES,
-      keepAliveTimeout: FIRST_LIMITS.idleTimeoutMs,
+      maxHeaderSize: MAX_HEADER_BYTES,
+      keepAliveTimeout: INITIAL_LIMITS.idleTimeoutMs,
       requestTimeout: 0,
     }, (incoming, response) => void this.serve(incoming, response));
     this.connections = ServerConnections.create(this.server, {
-      onUnreadable: (input) => this.noteUnreadable(input),
+      onUnreadable: (input) => this.logUnreadable(input),
     });
   }
 
@@ -125,38 +125,38 @@
     return new Ingress(context);
   }
 
-  /** How many requests are under way. */
+  /** Number of requests in flight. */
   get activeCount(): number {
     return this.active;
   }
 
-  /** How many connections have a request or an answer under way. */
+  /** Number of connections with a request or a response in flight. */
   get busyCount(): number {
     return this.connections.busyCount;
   }
 
-  /** Bytes of answers that wait in the process. */
+  /** Bytes of responses buffered in the process. */
   get unsentBytes(): number {
     return this.connections.unsentBytes;
   }
 
-  /** Takes over the bounds on callers. */
+  /** Applies the time limits on callers. */
   setLimits(limits: CallerLimits): void {
     this.server.keepAliveTimeout = limits.idleTimeoutMs;
     this.server.headersTimeout = limits.headerTimeoutMs;
   }
 
-  /** From now on every answer ends its connection. */
+  /** Makes every further response close its connection, unless others are pipelined behind it. */
   beginStop(): void {
     this.isStopping = true;
   }
 
-  /** From now on no new connections are taken. */
+  /** Stops accepting connections. */
   stopListening(): void {
     this.connections.stopListening();
   }
 
-  /** Closes the connections on which nothing is under way. */
+  /** Closes the connections without requests in flight. */
   closeIdle(): void {
     this.connections.closeIdle();
   }
@@ -171,7 +171,7 @@
     }
     let route: string | undefined;
     this.active += 1;
-    this.places.set(response, this.order.begin(socket));
+    this.sequenceNumbers.set(response, this.pipelines.begin(socket));
     try {
       route = await this.serveOne(incoming, response);
     } catch (cause) {
@@ -179,17 +179,17 @@
       response.destroy();
     } finally {
       this.active -= 1;
-      this.order.end(socket, route);
+      this.pipelines.end(socket, route);
     }
   }
 
-  /** Serves a request; returns the name of its route if it was sent on. */
+  /** Serves a request; returns the name of its route if it was run. */
   private async serveOne(
     incoming: IncomingMessage,
     response: ServerResponse,
   ): Promise<string | undefined> {
     const { protocol, configuration, metrics, lag } = this.context;
-    const arrivedMs = steadyMs() - lag.currentMs;
+    const arrivedAtMs = steadyMs() - lag.currentMs;
     response.sendDate = false;
     await lag.awaitPendingReads({ isFirst: this.isFirst(incoming.socket) });
     if (hasLeft(incoming)) {
@@ -207,8 +207,8 @@
       this.refuse(response, {
         kind: "not_run",
         reason: "no_configuration",
-        retryAfterMs: this.spread({
-          waitMs: NO_CONFIGURATION_MS,
+        retryAfterMs: this.sampleRetryAfterMs({
+          waitMs: NO_CONFIGURATION_RETRY_MS,
           usefulMs: 0,
           leftMs: request.deadlineMs ?? Infinity,
           isPassing: true,
@@ -225,23 +225,23 @@
       return undefined;
     }
     if (lag.isOverloaded(route.rank)) {
-      this.refuseBehind(response, { request, route });
+      this.refuseOverloaded(response, { request, route });
       return undefined;
     }
     const ended = await this.run(
-      { incoming, response, request, arrivedMs },
+      { incoming, response, request, arrivedAtMs },
       { inForce, route },
     );
     metrics.count("bamboolink_requests", { route: route.name, ended });
     metrics.recordLatency(
       "bamboolink_request_seconds",
-      steadyMs() - arrivedMs,
+      steadyMs() - arrivedAtMs,
       { route: route.name },
     );
     return route.name;
   }
 
-  /** Tells a caller that its request can't be served as it is. */
+  /** Logs and refuses a request that can't be served as it is. */
   private reject(
     response: ServerResponse,
     outcome: RouterRejection,
@@ -261,7 +261,7 @@
     this.refuse(response, outcome, request);
   }
 
-  private noteUnreadable({ code, pendingAnswers }: UnreadableInput): void {
+  private logUnreadable({ code, pendingAnswers }: UnreadableInput): void {
     const { logger, metrics } = this.context;
     logger.log("caller_bytes_unreadable", {
       code,
@@ -270,8 +270,8 @@
     metrics.count("bamboolink_rejected_requests", { reason: "unreadable" });
   }
 
-  /** The process itself is short of time: whatever it does for this request comes too late. */
-  private refuseBehind(
+  /** Refuses a request because the event loop lags so far behind that any response would come too late. */
+  private refuseOverloaded(
     response: ServerResponse,
     arrival: { request: CallerRequest; route: TrafficRoute },
   ): void {
@@ -279,7 +279,7 @@
     const { request, route } = arrival;
     const reason = "process_behind";
     const lagMs = lag.currentMs;
-    const retryAfterMs = this.spread({
+    const retryAfterMs = this.sampleRetryAfterMs({
       waitMs: lagMs,
       usefulMs: 0,
       leftMs: request.deadlineMs ?? route.timeoutMs,
@@ -300,8 +300,8 @@
   }
 
   private isFirst(socket: Socket): boolean {
-    const isFirst = !this.served.has(socket);
-    this.served.add(socket);
+    const isFirst = !this.usedSockets.has(socket);
+    this.usedSockets.add(socket);
     return isFirst;
   }
 
@@ -310,11 +310,11 @@
       incoming: IncomingMessage;
       response: ServerResponse;
       request: CallerRequest;
-      arrivedMs: number;
+      arrivedAtMs: number;
     },
     match: { inForce: ConfigurationInForce; route: TrafficRoute },
   ): Promise<string> {
-    const { incoming, response, request, arrivedMs } = arrival;
+    const { incoming, response, request, arrivedAtMs } = arrival;
     const { limits } = match.inForce.configuration;
     const read = await readBody(incoming, { bytes: limits.bodyBytes });
     if (read.kind === "cut") {
@@ -324,43 +324,47 @@
       this.reject(response, { kind: "too_large" }, request);
       return "too_large";
     }
-    if (this.isBehindEnd(response)) {
+    if (this.isBehindLastResponse(response)) {
       return "unread";
     }
-    const work = this.createWork(
-      { incoming, request, arrivedMs, body: read.body },
+    const routed = this.createRoutedRequest(
+      { incoming, request, arrivedAtMs, body: read.body },
       match,
     );
-    const ending = await this.runUntilDeadline(work, response, match.route);
-    return this.answer(response, { ending, work });
+    const ending = await this.runUntilDeadline(routed, response, match.route);
+    return this.respond(response, { ending, routed });
   }
 
-  /** Whether the connection has ended before a request was whole: run now, its caller would take it for unread. */
-  private isBehindEnd(response: ServerResponse): boolean {
-    const place = this.places.get(response) ?? 0;
-    return place > (this.endings.get(response.req.socket) ?? Infinity);
+  /**
+   * Whether an earlier response has closed the connection before this request was received in full. It must not run: its
+   * caller assumes that it was never read.
+   */
+  private isBehindLastResponse(response: ServerResponse): boolean {
+    const sequenceNumber = this.sequenceNumbers.get(response) ?? 0;
+    return sequenceNumber >
+      (this.lastSequenceNumbers.get(response.req.socket) ?? Infinity);
   }
 
-  private createWork(
+  private createRoutedRequest(
     arrival: {
       incoming: IncomingMessage;
       request: CallerRequest;
-      arrivedMs: number;
+      arrivedAtMs: number;
       body: Buffer | undefined;
     },
     match: { inForce: ConfigurationInForce; route: TrafficRoute },
-  ): CallerWork {
-    const { incoming, request, arrivedMs, body } = arrival;
+  ): CallerRoutedRequest {
+    const { incoming, request, arrivedAtMs, body } = arrival;
     const { route } = match;
     const { protocol, callerService } = this.context;
-    const patienceMs = Math.min(
-      (request.deadlineMs ?? Infinity) - WAY_BACK_MS,
+    const requestTimeoutMs = Math.min(
+      (request.deadlineMs ?? Infinity) - RESPONSE_DELIVERY_MS,
       route.timeoutMs,
     );
-    const waitedMs = request.deadlineMs === undefined
+    const callerWaitedMs = request.deadlineMs === undefined
       ? 0
-      : this.patience.note(route.name, request.deadlineMs);
-    const service = this.split.choose(route);
+      : this.waitEstimator.note(route.name, request.deadlineMs);
+    const service = this.trafficSplit.choose(route);
     const isKeyed = match.inForce.services.get(service)?.keyed === true;
     return {
       id: request.id,
@@ -370,14 +374,14 @@
       isIdempotent: route.idempotent,
       key: isKeyed ? request.key : undefined,
       callerService: callerService(),
-      objectiveAtMs: arrivedMs +
-        Math.min(route.objectiveMs - waitedMs, patienceMs),
-      latestStartMs: arrivedMs +
-        (route.objectiveMs - waitedMs) * (1 - USUAL_SERVICE_SHARE),
-      deadlineAtMs: arrivedMs + patienceMs,
+      objectiveAtMs: arrivedAtMs +
+        Math.min(route.objectiveMs - callerWaitedMs, requestTimeoutMs),
+      latestStartAtMs: arrivedAtMs +
+        (route.objectiveMs - callerWaitedMs) * (1 - TYPICAL_SERVICE_SHARE),
+      deadlineAtMs: arrivedAtMs + requestTimeoutMs,
       brokenConnections: 0,
-      mayEndLate: !this.order.isFollowed(incoming.socket, route.name),
-      callerLeavesAtMs: arrivedMs + (request.deadlineMs ?? route.timeoutMs),
+      mayEndLate: !this.pipelines.isFollowed(incoming.socket, route.name),
+      callerDeadlineAtMs: arrivedAtMs + (request.deadlineMs ?? route.timeoutMs),
       method: incoming.method ?? "GET",
       target: incoming.url ?? "/",
       headers: selectRequestHeaders(
@@ -388,63 +392,65 @@
     };
   }
 
-  /** Runs a request until it has an outcome, its deadline passes or its caller leaves. */
+  /** Runs a request until it has an outcome, its deadline passes or its caller disconnects. */
   private async runUntilDeadline(
-    work: RoutedRequest,
+    routed: RoutedRequest,
     response: ServerResponse,
     route: TrafficRoute,
   ): Promise<Ending> {
     const cancellation = Cancellation.create();
     const timer = setTimeout(
       () => cancellation.cancel("deadline"),
-      Math.max(0, work.deadlineAtMs - steadyMs()),
+      Math.max(0, routed.deadlineAtMs - steadyMs()),
     );
-    const leave = () => cancellation.cancel("cancelled");
-    response.once("close", leave);
+    const cancelOnClose = () => cancellation.cancel("cancelled");
+    response.once("close", cancelOnClose);
     try {
-      return await this.context.runner.run(work, {
+      return await this.context.runner.run(routed, {
         maximumAttempts: route.maximumAttempts,
         cancellation,
       });
     } finally {
       clearTimeout(timer);
-      response.removeListener("close", leave);
+      response.removeListener("close", cancelOnClose);
     }
   }
 
-  private answer(
+  private respond(
     response: ServerResponse,
-    end: { ending: Ending; work: CallerWork },
+    completed: { ending: Ending; routed: CallerRoutedRequest },
   ): string {
-    const { work } = end;
-    const { outcome, peer, attempts } = end.ending;
+    const { routed } = completed;
+    const { outcome, peer, attempts } = completed.ending;
     if (response.destroyed) {
       return "caller_left";
     }
     if (outcome.kind === "answer") {
-      this.noteUnusual(work, { outcome, peer });
-      this.watchDelivery(response, { work, bytes: outcome.body.length });
-      this.passOn(response, outcome);
+      this.logUnusual(routed, { outcome, peer });
+      this.watchDelivery(response, { routed, bytes: outcome.body.length });
+      this.sendResponse(response, outcome);
       return "answered";
     }
     const { logger } = this.context;
-    const request = { id: work.id };
+    const request = { id: routed.id };
     if (outcome.kind === "not_run") {
       const isQuarantined = outcome.reason === "quarantined";
-      // Nobody runs it before its quarantine is over, so a caller that comes back sooner comes in vain.
-      const retryAfterMs = isQuarantined ? outcome.waitMs : this.spread({
-        waitMs: outcome.waitMs,
-        usefulMs: work.latestStartMs - steadyMs(),
-        leftMs: work.callerLeavesAtMs - steadyMs(),
-        isPassing: PASSING_REASONS.has(outcome.reason),
-      });
+      // No daemon runs it until its quarantine expires, so an earlier retry would be refused again.
+      const retryAfterMs = isQuarantined
+        ? outcome.waitMs
+        : this.sampleRetryAfterMs({
+          waitMs: outcome.waitMs,
+          usefulMs: routed.latestStartAtMs - steadyMs(),
+          leftMs: routed.callerDeadlineAtMs - steadyMs(),
+          isPassing: TRANSIENT_REASONS.has(outcome.reason),
+        });
       logger.log("request_not_run", {
-        request_id: work.id,
-        route: work.route,
-        service: work.service,
-        key: work.key,
+        request_id: routed.id,
+        route: routed.route,
+        service: routed.service,
+        key: routed.key,
         reason: outcome.reason,
-        fingerprint: isQuarantined ? fingerprintRequest(work) : undefined,
+        fingerprint: isQuarantined ? fingerprintRequest(routed) : undefined,
         peer,
         attempts,
         wait_ms: Math.round(outcome.waitMs),
@@ -456,10 +462,10 @@
       return `not_run_${reason}`;
     }
     logger.log("request_unknown", {
-      request_id: work.id,
-      route: work.route,
-      service: work.service,
-      key: work.key,
+      request_id: routed.id,
+      route: routed.route,
+      service: routed.service,
+      key: routed.key,
       reason: outcome.reason,
       peer,
       attempts,
@@ -470,38 +476,38 @@
     return `unknown_${reason}`;
   }
 
-  /** Tells of an answer by which the backend server itself found the request wrong. */
-  private noteUnusual(
-    work: RoutedRequest,
-    end: {
+  /** Logs a response by which the backend server itself rejected or redirected the request. */
+  private logUnusual(
+    routed: RoutedRequest,
+    completed: {
       outcome: Extract<Outcome, { kind: "answer" }>;
       peer: string | undefined;
     },
   ): void {
-    const { status, headers } = end.outcome;
+    const { status, headers } = completed.outcome;
     if (status < FIRST_UNUSUAL_STATUS || status >= FIRST_FAILURE_STATUS) {
       return;
     }
     this.context.logger.log("unusual_answer", {
-      request_id: work.id,
-      route: work.route,
-      service: work.service,
-      peer: end.peer,
+      request_id: routed.id,
+      route: routed.route,
+      service: routed.service,
+      peer: completed.peer,
       status,
       headers: Object.keys(headers),
     });
   }
 
-  /** Tells of an answer that is cut: the request counts as served here, and its caller has half of it. */
+  /** Logs a response that is cut off: the request counts as answered here, but its caller received only part of it. */
   private watchDelivery(
     response: ServerResponse,
-    answer: { work: CallerWork; bytes: number },
+    delivery: { routed: CallerRoutedRequest; bytes: number },
   ): void {
-    const { work, bytes } = answer;
+    const { routed, bytes } = delivery;
     const { socket } = response.req;
     let hasLeft = false;
     response.once("finish", () => {
-      // Also emitted when a connection is destroyed with the answer in its buffer.
+      // Also emitted when a connection is destroyed with the response in its buffer.
       hasLeft = !socket.destroyed;
     });
     response.once("close", () => {
@@ -510,8 +516,8 @@
       }
       const isCallers = socket.readableEnded || socket.errored !== null;
       this.context.logger.log("answer_undelivered", {
-        request_id: work.id,
-        route: work.route,
+        request_id: routed.id,
+        route: routed.route,
         ended_by: isCallers ? "caller" : "daemon",
         bytes,
         is_stopping: this.isStopping,
@@ -519,33 +525,40 @@
     });
   }
 
-  private passOn(
+  private sendResponse(
     response: ServerResponse,
-    answer: Extract<Outcome, { kind: "answer" }>,
+    backendResponse: Extract<Outcome, { kind: "answer" }>,
   ): void {
-    const { headers } = answer;
+    const { headers } = backendResponse;
     const hasNoBody = response.req.method === "HEAD" ||
-      answer.status === 204 || answer.status === 304;
+      backendResponse.status === 204 || backendResponse.status === 304;
     const length = hasNoBody
-      ? answer.headers["content-length"]?.toString()
-      : String(answer.body.length);
-    if (!answer.isFramed) {
-      // The caller must not take for whole what may have been cut: it ends with the connection here, too.
+      ? backendResponse.headers["content-length"]?.toString()
+      : String(backendResponse.body.length);
+    if (!backendResponse.isFramed) {
+      // The response may be truncated. It is delimited by the end of the connection here, too, so that the caller doesn't
+      // take it for complete.
       const { socket } = response.req;
       this.connections.announceEnd(socket);
-      this.endings.set(socket, this.places.get(response) ?? 0);
+      this.lastSequenceNumbers.set(
+        socket,
+        this.sequenceNumbers.get(response) ?? 0,
+      );
       response.useChunkedEncodingByDefault = false;
       response.shouldKeepAlive = false;
-      response.writeHead(answer.status, { ...headers, connection: "close" });
-      response.end(answer.body);
+      response.writeHead(backendResponse.status, {
+        ...headers,
+        connection: "close",
+      });
+      response.end(backendResponse.body);
       return;
     }
-    response.writeHead(answer.status, {
+    response.writeHead(backendResponse.status, {
       ...headers,
       ...(length === undefined ? {} : { "content-length": length }),
       ...this.connectionHeader(response),
     });
-    response.end(answer.body);
+    response.end(backendResponse.body);
   }
 
   private refuse(
@@ -553,7 +566,7 @@
     outcome: RouterOutcome,
     request?: Pick<CallerRequest, "id">,
   ): void {
-    // A body that can't be read is answered with its connection.
+    // An unreadable body may have closed the connection already.
     if (response.destroyed || response.headersSent) {
       return;
     }
@@ -567,13 +580,13 @@
   }
 
   /**
-   * While the daemon stops, an answer ends its connection, unless others wait behind it: they may have been passed
-   * on already, and would be cut.
+   * While the daemon stops, a response closes its connection, unless other requests are pipelined behind it: they may be
+   * running already, and their responses would be cut off.
    */
   private connectionHeader(response: ServerResponse): Record<string, string> {
     const { socket } = response.req;
-    const place = this.places.get(response) ?? 0;
-    if (!this.isStopping || !this.order.isLast(socket, place)) {
+    const sequenceNumber = this.sequenceNumbers.get(response) ?? 0;
+    if (!this.isStopping || !this.pipelines.isLast(socket, sequenceNumber)) {
       return {};
     }
     this.connections.announceEnd(socket);
@@ -581,7 +594,7 @@
   }
 }
 
-/** Queries may hold what callers don't want in logs. */
+/** Query strings may hold data that callers don't want in logs. */
 function withoutQuery(target: string): string {
   return target.split("?", 1)[0]!;
 }
--- a/packages/router/src/local_backend.ts
+++ b/packages/router/src/local_backend.ts
@@ -1,5 +1,6 @@
 /**
- * Hands requests to the backend server on this host, no more at a time than it has slots.
+ * Forwards requests to the backend server on this host, at most as many at a time as it has slots, and queues or refuses
+ * the rest.
  *
  * @module
  */
@@ -37,58 +38,58 @@
 } from "./routed_request.ts";
 
 /**
- * How long a connection may have been idle to be used again for idempotent requests, in milliseconds:
- * these are sent again elsewhere when the backend server has forgotten it.
+ * Maximum idle time of a connection that is reused for idempotent requests, in milliseconds. These are retried
+ * elsewhere if the backend server has dropped the connection.
  */
-const REUSE_IDEMPOTENT_MS = 5_000;
+const IDEMPOTENT_MAX_IDLE_MS = 5_000;
 /**
- * The same for requests that may run once only, in milliseconds. One that goes out on a forgotten
- * connection ends as unknown, so only connections in steady use will do.
+ * The same for requests that are not idempotent, in milliseconds. One that is sent on a dropped connection has an
+ * unknown outcome, so only connections in steady use are reused for them.
  */
-const REUSE_ONCE_MS = 1_000;
-/** A request for a key that the backend server is about to be granted waits so long, in milliseconds. */
-const GRANT_WAIT_MS = 1_200;
+const NON_IDEMPOTENT_MAX_IDLE_MS = 1_000;
+/** Maximum wait of a request for a key that the backend server is about to be granted, in milliseconds. */
+const MAX_GRANT_WAIT_MS = 1_200;
 
 /**
- * For how long a wait that was worked out is told again, in milliseconds. It goes with every answer, and the
- * slots are played forward for it.
+ * For how long a computed queue wait is reported unchanged, in milliseconds. Every response carries it, and computing
+ * it simulates the slots.
  */
-const WAIT_FRESH_MS = 5;
+const WAIT_CACHE_TTL_MS = 5;
 
-/** When this process started, on the steady clock. */
+/** Start of this process on the steady clock, in milliseconds. */
 const PROCESS_START_MS = 0;
 
-/** What contradicts that a backend server is there as it is believed to be. */
+/** Evidence against the assumed state of the backend server. */
 export type BackendSuspicion =
   /** It refuses connections. */
   | "refused"
-  /** Its connections break, all of those on which something ran. */
+  /** All connections on which requests ran have broken. */
   | "lost"
-  /** Another one answers. */
+  /** Another instance responds at its address. */
   | "wrong_instance";
 
-/** What the local backend needs. */
+/** Dependencies of {@link LocalBackend}. */
 export interface LocalBackendContext {
   readonly address: string;
   readonly protocol: BackendProtocol;
   readonly logger: Logger;
   readonly grants: GrantBook;
   readonly quarantine: RequestQuarantine;
-  /** Called when something contradicts what is believed of the backend server. */
+  /** Called on evidence against the assumed state of the backend server. */
   readonly onSuspicion: (suspicion: BackendSuspicion) => void;
 }
 
-/** What is known of the backend server that requests need. */
+/** The backend server's identity and state, as far as requests depend on them. */
 export interface BackendIdentity extends Incarnation {
   readonly service: string;
   readonly slots: number;
   readonly phase: MemberPhase;
   readonly isKeyed: boolean;
-  /** After this nothing is handed over any more, on the steady clock; infinite while it takes work. */
+  /** Until when requests are forwarded to it, on the steady clock; infinite while it accepts new requests. */
   readonly forwardUntilMs: number;
-  /** Until when it is cold, on the steady clock. */
+  /** End of its cold start, on the steady clock. */
   readonly coldUntilMs: number;
-  /** Most requests in one second while it is cold; 0 where that is not known. */
+  /** Maximum requests per second during its cold start; 0 where that is not known. */
   readonly coldLimit: number;
 }
 
@@ -96,9 +97,9 @@
   readonly resolve: (outcome: "run" | Outcome) => void;
 }
 
-/** The backend server on this host. */
+/** The backend server on this host: its queue, its connections and its load statistics. */
 export class LocalBackend extends Destination {
-  /** How much work its keys bring. */
+  /** Load of each key. */
   readonly profile = LoadProfile.create();
   private readonly pacer = ColdStartPacer.create(PROCESS_START_MS);
   private readonly queue = WorkQueue.create(this.pacer);
@@ -111,19 +112,19 @@
   private identity: BackendIdentity | undefined;
   private lastId = 0;
   private totals = { offered: 0, finished: 0 };
-  private wait = { waitMs: 0, atMs: -Infinity };
+  private wait = { waitMs: 0, computedAtMs: -Infinity };
 
   private constructor(private context: LocalBackendContext) {
     super();
     this.connections = ConnectionPool.create(context.address);
   }
 
-  /** Creates one that knows of no backend server yet. */
+  /** Creates one without a backend server; requests are refused until {@link updateIdentity} is called. */
   static create(context: LocalBackendContext): LocalBackend {
     return new LocalBackend(context);
   }
 
-  /** Takes over what the backend server says of itself; `undefined` when it is gone. */
+  /** Applies the identity that the backend server announced; `undefined` when it is absent. */
   updateIdentity(identity: BackendIdentity | undefined): void {
     const isSameProcess = identity !== undefined &&
       this.identity !== undefined && isSame(identity, this.identity);
@@ -140,7 +141,7 @@
     this.apply(this.queue.advance(steadyMs()));
   }
 
-  /** How busy the backend server is, and how long requests of a route take there. */
+  /** Returns the backend server's load, and the average time of a route's requests there. */
   loadReportFor(route: string): LoadReport {
     return {
       waitMs: this.waitMs,
@@ -150,31 +151,31 @@
     };
   }
 
-  /** Until a request that arrives now would start, in milliseconds. */
+  /** Estimated wait of a request that arrives now, in milliseconds. */
   get waitMs(): number {
     const nowMs = steadyMs();
-    if (nowMs - this.wait.atMs > WAIT_FRESH_MS) {
-      // Without slots nobody sends anything; the phase says so, and the figure must be one that travels.
+    if (nowMs - this.wait.computedAtMs > WAIT_CACHE_TTL_MS) {
+      // Without slots the wait is infinite, which can't be encoded. The phase already keeps others from sending.
       const hasSlots = (this.identity?.slots ?? 0) > 0;
       this.wait = {
         waitMs: hasSlots ? this.queue.waitMs(nowMs) : 0,
-        atMs: nowMs,
+        computedAtMs: nowMs,
       };
     }
     return this.wait.waitMs;
   }
 
-  /** Usual time of a request over all routes, in milliseconds; 0 until enough were served. */
+  /** Typical service time over all routes, in milliseconds; 0 until enough requests were served. */
   get serviceMs(): number {
     return this.times.settledMs;
   }
 
-  /** Share of recent requests that failed. */
+  /** Share of recent requests that failed, from 0 to 1. */
   get failureShare(): number {
     return this.meter.failureShare;
   }
 
-  /** Work offered for each slot, or what a cold server's rate is used, whichever is more; 1 leaves no room. */
+  /** Offered load per slot, or the used share of a cold server's rate limit, whichever is higher; 1 is saturated. */
   get utilization(): number {
     const slots = this.identity?.slots ?? 0;
     return slots === 0 ? 0 : Math.max(
@@ -183,7 +184,7 @@
     );
   }
 
-  /** How many requests run and wait. */
+  /** Numbers of running and of waiting requests. */
   get counts(): { running: number; waiting: number } {
     return {
       running: this.queue.runningCount,
@@ -191,7 +192,7 @@
     };
   }
 
-  /** Describes the load since the last call, for the log. */
+  /** Returns the fields of a log entry on the load since the last call. */
   takeLoadSummary(): Record<string, number> {
     const { offered, finished } = this.totals;
     this.totals = { offered: 0, finished: 0 };
@@ -208,18 +209,18 @@
     };
   }
 
-  /** Lets time pass: what can't be done in time any more is refused, and old load is forgotten. */
+  /** Refuses queued requests that can't be served in time any more, and decays the load statistics. Called by a timer. */
   tick(): void {
     const nowMs = steadyMs();
     this.apply(this.queue.advance(nowMs));
     this.meter.decay(nowMs);
     this.profile.decay(nowMs);
-    this.connections.prune({ nowMs, longestIdleMs: REUSE_IDEMPOTENT_MS });
+    this.connections.prune({ nowMs, longestIdleMs: IDEMPOTENT_MAX_IDLE_MS });
   }
 
-  /** The backend server was granted keys: requests that waited for them look again. */
+  /** Rechecks the requests that wait for a grant. To be called when the backend server was granted keys. */
   onKeysGranted(): void {
-    this.grantWaits.forEach((look) => look());
+    this.grantWaits.forEach((recheck) => recheck());
   }
 
   /** Closes all connections. */
@@ -228,39 +229,48 @@
   }
 
   override async attempt(
-    work: RoutedRequest,
+    request: RoutedRequest,
     cancellation: Cancellation,
   ): Promise<Outcome> {
     const { quarantine } = this.context;
-    const refused = this.checkService(work) ?? this.checkQuarantine(work) ??
-      await this.awaitKey(work, cancellation);
+    const refused = this.checkService(request) ??
+      this.checkQuarantine(request) ??
+      await this.awaitKey(request, cancellation);
     if (refused !== undefined) {
       return refused;
     }
-    const estimateMs = this.estimate(work);
-    if (quarantine.classify(work).kind !== "suspect") {
-      return await this.runAdmitted(work, { cancellation, estimateMs });
+    const estimateMs = this.estimateServiceMs(request);
+    if (quarantine.classify(request).kind !== "suspect") {
+      return await this.runAdmitted(request, { cancellation, estimateMs });
     }
-    return await this.probation.run(work, { cancellation, estimateMs }, () => {
-      const changed = this.checkService(work);
-      const isOnProbation = true;
-      return changed === undefined
-        ? this.runAdmitted(work, { cancellation, estimateMs, isOnProbation })
-        : Promise.resolve(changed);
-    });
+    return await this.probation.run(
+      request,
+      { cancellation, estimateMs },
+      () => {
+        const changed = this.checkService(request);
+        const isOnProbation = true;
+        return changed === undefined
+          ? this.runAdmitted(request, {
+            cancellation,
+            estimateMs,
+            isOnProbation,
+          })
+          : Promise.resolve(changed);
+      },
+    );
   }
 
-  private estimate(work: RoutedRequest): number {
+  private estimateServiceMs(request: RoutedRequest): number {
     const nowMs = steadyMs();
-    return this.times.estimate(work.route, {
-      objectiveMs: work.objectiveAtMs - nowMs,
-      deadlineMs: work.deadlineAtMs - nowMs,
+    return this.times.estimate(request.route, {
+      objectiveMs: request.objectiveAtMs - nowMs,
+      deadlineMs: request.deadlineAtMs - nowMs,
     });
   }
 
-  /** Runs a request when a slot is free for it. */
+  /** Queues a request for a slot and runs it there. */
   private async runAdmitted(
-    work: RoutedRequest,
+    request: RoutedRequest,
     entry: {
       cancellation: Cancellation;
       estimateMs: number;
@@ -270,65 +280,65 @@
     const { cancellation, estimateMs, isOnProbation = false } = entry;
     this.meter.noteOffered(estimateMs);
     this.totals.offered += 1;
-    if (work.key !== undefined) {
-      this.profile.note(work.key, estimateMs);
+    if (request.key !== undefined) {
+      this.profile.note(request.key, estimateMs);
     }
     this.lastId += 1;
     const id = this.lastId;
-    const admitted = await this.awaitSlot(work, {
+    const admitted = await this.awaitSlot(request, {
       id,
       estimateMs,
       cancellation,
     });
     return admitted === "run"
-      ? await this.handOver(work, { id, cancellation, isOnProbation })
+      ? await this.exchange(request, { id, cancellation, isOnProbation })
       : admitted;
   }
 
-  private checkService(work: RoutedRequest): Outcome | undefined {
+  private checkService(request: RoutedRequest): Outcome | undefined {
     const { identity } = this;
     if (identity === undefined || identity.phase === "absent") {
       return notRun("no_backend");
     }
-    if (identity.service !== work.service) {
+    if (identity.service !== request.service) {
       return notRun("no_backend");
     }
-    return this.isTaking(identity)
+    return this.acceptsRequests(identity)
       ? undefined
-      : notRun(leavingReason(identity));
+      : notRun(closedReason(identity));
   }
 
-  private checkQuarantine(work: RoutedRequest): Outcome | undefined {
-    const standing = this.context.quarantine.classify(work);
-    return standing.kind === "quarantined"
-      ? notRun("quarantined", { waitMs: standing.remainingMs })
+  private checkQuarantine(request: RoutedRequest): Outcome | undefined {
+    const classification = this.context.quarantine.classify(request);
+    return classification.kind === "quarantined"
+      ? notRun("quarantined", { waitMs: classification.remainingMs })
       : undefined;
   }
 
-  /** One that leaves is handed requests for a while longer only for keys, which nobody else can serve. */
-  private isTaking({ phase, isKeyed, forwardUntilMs }: BackendIdentity) {
+  /** While it drains, only requests for keys are forwarded for a while longer: no other backend server can serve them. */
+  private acceptsRequests({ phase, isKeyed, forwardUntilMs }: BackendIdentity) {
     return phase === "ready" || isKeyed && steadyMs() <= forwardUntilMs;
   }
 
-  /** Requests for a key wait until the backend server holds it, if it is to hold it. */
+  /** Waits for the grant of a request's key if this backend server is the key's assigned owner. */
   private async awaitKey(
-    work: RoutedRequest,
+    request: RoutedRequest,
     cancellation: Cancellation,
   ): Promise<Outcome | undefined> {
     const { grants } = this.context;
     if (this.identity?.isKeyed !== true) {
       return undefined;
     }
-    const key = work.key;
+    const key = request.key;
     if (key === undefined || !grants.isOwn(key)) {
       return notRun("not_owner");
     }
     if (grants.holds(key, bootMs())) {
       return undefined;
     }
-    const leftMs = work.deadlineAtMs - steadyMs();
+    const remainingMs = request.deadlineAtMs - steadyMs();
     await this.awaitGrant(key, {
-      waitMs: Math.min(GRANT_WAIT_MS, leftMs / 2),
+      waitMs: Math.min(MAX_GRANT_WAIT_MS, remainingMs / 2),
       cancellation,
     });
     return grants.holds(key, bootMs()) ? undefined : notRun("not_owner");
@@ -340,128 +350,136 @@
   ): Promise<void> {
     const { grants } = this.context;
     return new Promise((resolve) => {
-      const end = () => {
+      const finish = () => {
         clearTimeout(timer);
-        this.grantWaits.delete(look);
-        options.cancellation.remove(end);
+        this.grantWaits.delete(recheck);
+        options.cancellation.remove(finish);
         resolve();
       };
-      const look = () => {
+      const recheck = () => {
         if (grants.holds(key, bootMs()) || !grants.isOwn(key)) {
-          end();
+          finish();
         }
       };
-      const timer = setTimeout(end, options.waitMs);
-      this.grantWaits.add(look);
-      options.cancellation.onCancel(end);
+      const timer = setTimeout(finish, options.waitMs);
+      this.grantWaits.add(recheck);
+      options.cancellation.onCancel(finish);
     });
   }
 
   private awaitSlot(
-    work: RoutedRequest,
+    request: RoutedRequest,
     entry: { id: number; estimateMs: number; cancellation: Cancellation },
   ): Promise<"run" | Outcome> {
     const { id, estimateMs, cancellation } = entry;
     if (cancellation.isCancelled) {
       return Promise.resolve(notRun("cancelled"));
     }
-    const { rank, objectiveAtMs, deadlineAtMs, mayEndLate } = work;
-    const verdict = this.queue.offer(
+    const { rank, objectiveAtMs, deadlineAtMs, mayEndLate } = request;
+    const decision = this.queue.offer(
       { id, rank, objectiveAtMs, deadlineAtMs, estimateMs, mayEndLate },
       steadyMs(),
     );
-    if (verdict.kind === "run") {
+    if (decision.kind === "run") {
       return Promise.resolve("run");
     }
-    if (verdict.kind === "refuse") {
+    if (decision.kind === "refuse") {
       return Promise.resolve(
-        notRun(verdict.reason, { waitMs: verdict.waitMs }),
+        notRun(decision.reason, { waitMs: decision.waitMs }),
       );
     }
     return new Promise((resolve) => {
-      const leave = () => {
+      const cancelWait = () => {
         if (this.queue.cancel(id)) {
-          this.settle(id, notRun("cancelled"));
+          this.resolveWaiting(id, notRun("cancelled"));
         }
       };
-      cancellation.onCancel(leave);
+      cancellation.onCancel(cancelWait);
       this.waiting.set(id, {
         resolve: (outcome) => {
-          cancellation.remove(leave);
+          cancellation.remove(cancelWait);
           resolve(outcome);
         },
       });
     });
   }
 
-  /** From here on bytes may reach the backend server. */
-  private async handOver(
-    work: RoutedRequest,
+  /** Sends a request to the backend server. Only from here on may bytes of it reach the server. */
+  private async exchange(
+    request: RoutedRequest,
     slot: { id: number; cancellation: Cancellation; isOnProbation: boolean },
   ): Promise<Outcome> {
-    const startedMs = steadyMs();
-    const refused = this.checkAgain(work);
+    const startedAtMs = steadyMs();
+    const refused = this.recheck(request);
     if (refused !== undefined) {
-      this.leaveSlot(slot.id);
+      this.releaseSlot(slot.id);
       return refused;
     }
     const connection = this.connections.take({
-      nowMs: startedMs,
-      longestIdleMs: work.isIdempotent ? REUSE_IDEMPOTENT_MS : REUSE_ONCE_MS,
+      nowMs: startedAtMs,
+      longestIdleMs: request.isIdempotent
+        ? IDEMPOTENT_MAX_IDLE_MS
+        : NON_IDEMPOTENT_MAX_IDLE_MS,
     });
     const result = await connection.exchange(
-      this.describe(work, startedMs),
+      this.describe(request, startedAtMs),
       { cancellation: slot.cancellation, nowMs: steadyMs },
     );
-    this.leaveSlot(slot.id);
-    const outcome = this.judge(work, { result, connection });
-    this.tellQuarantine(work, { outcome, isOnProbation: slot.isOnProbation });
-    this.learn(work, { outcome, tookMs: steadyMs() - startedMs });
+    this.releaseSlot(slot.id);
+    const outcome = this.toOutcome(request, { result, connection });
+    this.updateQuarantine(request, {
+      outcome,
+      isOnProbation: slot.isOnProbation,
+    });
+    this.recordStatistics(request, {
+      outcome,
+      durationMs: steadyMs() - startedAtMs,
+    });
     return outcome;
   }
 
-  /** While a request waited, the key may have gone, the server may leave, or servers may have ended under it. */
-  private checkAgain(work: RoutedRequest): Outcome | undefined {
+  /** Repeats the checks after the wait: keys may have moved, the server may drain, the request may be quarantined. */
+  private recheck(request: RoutedRequest): Outcome | undefined {
     const { grants } = this.context;
-    const quarantined = this.checkQuarantine(work);
+    const quarantined = this.checkQuarantine(request);
     if (quarantined !== undefined) {
       return quarantined;
     }
-    const key = work.key;
+    const key = request.key;
     if (this.identity?.isKeyed === true && key !== undefined) {
       if (!grants.isOwn(key) || !grants.holds(key, bootMs())) {
         return notRun("not_owner");
       }
     }
-    if (work.deadlineAtMs - steadyMs() < 1) {
+    if (request.deadlineAtMs - steadyMs() < 1) {
       return notRun("too_late");
     }
     const { identity } = this;
-    if (identity === undefined || identity.service !== work.service) {
+    if (identity === undefined || identity.service !== request.service) {
       return notRun("no_backend");
     }
     return steadyMs() > identity.forwardUntilMs
-      ? notRun(leavingReason(identity))
+      ? notRun(closedReason(identity))
       : undefined;
   }
 
-  private describe(work: RoutedRequest, nowMs: number) {
+  private describe(request: RoutedRequest, nowMs: number) {
     const details = this.context.protocol.requestHeaders({
-      deadlineLeftMs: Math.max(1, Math.floor(work.deadlineAtMs - nowMs)),
+      deadlineLeftMs: Math.max(1, Math.floor(request.deadlineAtMs - nowMs)),
       instance: this.identity?.instance ?? "",
-      callerService: work.callerService,
+      callerService: request.callerService,
     });
-    const { method, target, body } = work;
-    return { method, target, body, headers: [...work.headers, ...details] };
+    const { method, target, body } = request;
+    return { method, target, body, headers: [...request.headers, ...details] };
   }
 
-  private judge(
-    work: RoutedRequest,
-    end: { result: ExchangeResult; connection: Connection },
+  private toOutcome(
+    request: RoutedRequest,
+    completed: { result: ExchangeResult; connection: Connection },
   ): Outcome {
-    const { result, connection } = end;
+    const { result, connection } = completed;
     if (result.kind === "answer") {
-      return this.judgeAnswer(work, { answer: result, connection });
+      return this.toResponseOutcome(request, { answer: result, connection });
     }
     this.connections.discard(connection);
     if (result.kind === "unsent") {
@@ -470,23 +488,23 @@
       }
       return notRun("backend_unreachable");
     }
-    const isLate = work.deadlineAtMs - steadyMs() < 1;
+    const isLate = request.deadlineAtMs - steadyMs() < 1;
     return unknown(isLate ? "deadline" : "backend_lost");
   }
 
-  private judgeAnswer(
-    work: RoutedRequest,
-    end: {
+  private toResponseOutcome(
+    request: RoutedRequest,
+    completed: {
       answer: Extract<ExchangeResult, { kind: "answer" }>;
       connection: Connection;
     },
   ): Outcome {
-    const { answer, connection } = end;
-    const verdict = this.context.protocol.judge(answer, work.id);
+    const { answer, connection } = completed;
+    const verdict = this.context.protocol.judge(answer, request.id);
     if (verdict === "foreign") {
-      // The right answer may still follow on this connection, where nobody may take it for another's.
+      // The right response may still follow on this connection, and must not be matched to another request.
       this.connections.discard(connection);
-      this.context.logger.log("foreign_answer", { request_id: work.id });
+      this.context.logger.log("foreign_answer", { request_id: request.id });
       return unknown("foreign_answer");
     }
     this.connections.give(connection);
@@ -499,31 +517,31 @@
     return notRun("not_executed", { hasArrived: true });
   }
 
-  private tellQuarantine(
-    work: RoutedRequest,
-    end: { outcome: Outcome; isOnProbation: boolean },
+  private updateQuarantine(
+    request: RoutedRequest,
+    completed: { outcome: Outcome; isOnProbation: boolean },
   ): void {
-    const { outcome, isOnProbation } = end;
+    const { outcome, isOnProbation } = completed;
     const { quarantine, onSuspicion } = this.context;
     if (outcome.kind === "answer") {
-      quarantine.recordResponse(work);
+      quarantine.recordResponse(request);
     }
     if (outcome.kind === "unknown" && outcome.reason === "backend_lost") {
-      quarantine.recordBrokenConnection(work, isOnProbation);
-      // While others run on, only this connection has broken.
+      quarantine.recordBrokenConnection(request, isOnProbation);
+      // While other requests keep running, only this connection has broken.
       if (this.queue.runningCount === 0) {
         onSuspicion("lost");
       }
     }
   }
 
-  private learn(
-    work: RoutedRequest,
-    end: { outcome: Outcome; tookMs: number },
+  private recordStatistics(
+    request: RoutedRequest,
+    completed: { outcome: Outcome; durationMs: number },
   ): void {
-    const { outcome, tookMs } = end;
+    const { outcome, durationMs } = completed;
     if (outcome.kind === "answer" && outcome.status < 500) {
-      this.times.note(work.route, tookMs);
+      this.times.note(request.route, durationMs);
     }
     const isFailure = outcome.kind === "unknown" ||
       outcome.kind === "answer" && outcome.status >= 500 ||
@@ -531,26 +549,26 @@
     this.meter.noteResult(isFailure);
   }
 
-  private leaveSlot(id: number): void {
+  private releaseSlot(id: number): void {
     this.totals.finished += 1;
     this.apply(this.queue.finish(id, steadyMs()));
   }
 
   private apply(changes: WorkChanges): void {
-    changes.run.forEach((id) => this.settle(id, "run"));
+    changes.run.forEach((id) => this.resolveWaiting(id, "run"));
     changes.refuse.forEach(({ id, reason }) =>
-      this.settle(id, notRun(reason, { waitMs: this.waitMs }))
+      this.resolveWaiting(id, notRun(reason, { waitMs: this.waitMs }))
     );
   }
 
-  private settle(id: number, outcome: "run" | Outcome): void {
+  private resolveWaiting(id: number, outcome: "run" | Outcome): void {
     const waiting = this.waiting.get(id);
     this.waiting.delete(id);
     waiting?.resolve(outcome);
   }
 }
 
-/** Why a backend server that takes no new work takes none. */
-function leavingReason({ phase }: BackendIdentity): RefusalReason {
+/** Why a backend server accepts no new requests. */
+function closedReason({ phase }: BackendIdentity): RefusalReason {
   return phase === "evacuated" ? "evacuated" : "draining";
 }
--- a/packages/router/src/request_runner.ts
+++ b/packages/router/src/request_runner.ts
@@ -1,5 +1,5 @@
 /**
- * Makes attempts for one request until one of them is final.
+ * Attempts a request at one backend server after another until an outcome is final.
  *
  * @module
  */
@@ -28,21 +28,21 @@
   type RoutedRequest,
 } from "./routed_request.ts";
 
-/** Attempts for one request, refused ones included; each refusal costs a way there and back. */
-const MAXIMUM_ROUNDS = 4;
-/** How long a request waits for its key to get an owner, in milliseconds. */
-const OWNER_WAIT_MS = 700;
-/** Pause between two looks at who owns a key, in milliseconds; the table changes within a few. */
-const OWNER_POLL_MS = 15;
-/** A resend must have this share of the time of a usual request left, or it would be wasted. */
-const USEFUL_TIME_SHARE = 0.8;
-/** Statuses of a backend server's own that say that the request failed there. */
+/** Maximum attempts for one request, including refused ones; each refusal costs a network round trip. */
+const MAX_ROUNDS = 4;
+/** Maximum time a request waits for its key to get an owner, in milliseconds. */
+const MAX_OWNER_WAIT_MS = 700;
+/** Interval between two lookups of a key's owner, in milliseconds; the ownership table changes within a few. */
+const OWNER_POLL_INTERVAL_MS = 15;
+/** A retry with less than this share of the route's typical service time left would be wasted. */
+const MIN_RETRY_TIME_SHARE = 0.8;
+/** Lowest HTTP status by which a backend server reports that it failed a request. */
 const FIRST_FAILURE_STATUS = 500;
 
 /**
- * Refusals after which nobody else can run a request for a key: its owner is away for longer than a
- * request could wait, or has no room. Waiting for another owner would hold callers back for nothing, and
- * looking for one again and again costs the time that other requests need.
+ * Refusals by a key's owner that are final: the owner is unreachable for longer than a request could wait, or has no
+ * capacity, and no other backend server may run the request. Waiting for another owner would delay callers for
+ * nothing, and polling for one takes processor time from other requests.
  */
 const FINAL_OWNER_REFUSALS: ReadonlySet<RefusalReason> = new Set([
   "peer_unreachable",
@@ -52,7 +52,7 @@
   "too_late",
 ]);
 
-/** Refusals after which a suspect is not sent to another server. */
+/** Refusals after which a suspect request is not sent to another backend server. */
 const REFUSALS_THAT_END_PROBATION: ReadonlySet<RefusalReason> = new Set([
   "backend_unreachable",
   "overloaded",
@@ -60,7 +60,7 @@
   "too_late",
 ]);
 
-/** What the runner needs. */
+/** Dependencies of {@link RequestRunner}. */
 export interface RequestRunnerContext {
   readonly logger: Logger;
   readonly view: MemberView;
@@ -73,32 +73,37 @@
   readonly random: () => number;
 }
 
-/** Runs requests. */
+/** Places requests on backend servers and retries them as their routes, deadlines and the retry budget allow. */
 export class RequestRunner {
   private constructor(private readonly context: RequestRunnerContext) {}
 
-  /** Creates a runner. */
   static create(context: RequestRunnerContext): RequestRunner {
     return new RequestRunner(context);
   }
 
-  /** Runs a request; the outcome is final. */
+  /**
+   * Runs a request to its final outcome.
+   *
+   * @param options.maximumAttempts how many attempts may reach a backend server.
+   */
   async run(
-    work: RoutedRequest,
+    request: RoutedRequest,
     options: { maximumAttempts: number; cancellation: Cancellation },
   ): Promise<Ending> {
     const { cancellation, maximumAttempts } = options;
     const history = AttemptHistory.create();
-    const standing = this.context.quarantine.classify(work);
-    if (standing.kind === "quarantined") {
-      const outcome = notRun("quarantined", { waitMs: standing.remainingMs });
+    const classification = this.context.quarantine.classify(request);
+    if (classification.kind === "quarantined") {
+      const outcome = notRun("quarantined", {
+        waitMs: classification.remainingMs,
+      });
       return { outcome, peer: undefined, attempts: 0 };
     }
-    this.context.budget.noteRequest(work.service, steadyMs());
-    for (let round = 0; round < MAXIMUM_ROUNDS; round += 1) {
+    this.context.budget.noteRequest(request.service, steadyMs());
+    for (let round = 0; round < MAX_ROUNDS; round += 1) {
       const current = history.brokenConnections === 0
-        ? work
-        : { ...work, brokenConnections: history.brokenConnections };
+        ? request
+        : { ...request, brokenConnections: history.brokenConnections };
       const target = await this.findTarget(
         current,
         history.tried,
@@ -114,42 +119,43 @@
         target,
         cancellation,
         mayGiveUp: () =>
-          this.mayGiveUp(work, { target, history, maximumAttempts }),
+          this.mayGiveUp(request, { target, history, maximumAttempts }),
       });
       history.note(target.address, outcome);
-      this.noteSize(work, outcome);
+      this.recordSize(request, outcome);
       if (
-        cancellation.isCancelled || this.isFinal(work, { target, outcome }) ||
-        this.isFinalOwnerRefusal(work, outcome) ||
+        cancellation.isCancelled ||
+        this.isFinal(request, { target, outcome }) ||
+        this.isFinalOwnerRefusal(request, outcome) ||
         endsProbation(outcome) &&
-          !this.context.quarantine.mayRetry(work, history.brokenConnections)
+          !this.context.quarantine.mayRetry(request, history.brokenConnections)
       ) {
         return history.end();
       }
-      this.logAttempt(work, { target, round, outcome });
+      this.logAttempt(request, { target, round, outcome });
     }
     return history.end();
   }
 
-  /** Whether an attempt may be made; one that repeats what may have run draws on the budget. */
+  /** Whether an attempt may be made. A retry of a request that may have run is charged to the retry budget. */
   private mayAttempt(
-    work: RoutedRequest,
+    request: RoutedRequest,
     arrivals: number,
     maximumAttempts: number,
   ): boolean {
     if (arrivals === 0) {
       return true;
     }
-    if (!this.mayResend(work, arrivals, maximumAttempts)) {
+    if (!this.hasRetryAllowance(request, arrivals, maximumAttempts)) {
       return false;
     }
-    this.context.budget.noteResend(work.service, steadyMs());
+    this.context.budget.noteResend(request.service, steadyMs());
     return true;
   }
 
-  /** Whether a request is better sent elsewhere than left with a daemon that says nothing. */
+  /** Whether a request should be retried elsewhere rather than left with a daemon that doesn't acknowledge it. */
   private mayGiveUp(
-    work: RoutedRequest,
+    request: RoutedRequest,
     at: {
       target: MemberReport;
       history: AttemptHistory;
@@ -158,14 +164,14 @@
   ): boolean {
     const { target, history, maximumAttempts } = at;
     const tried = new Set([...history.tried, target.address]);
-    return work.isIdempotent &&
-      !this.context.directory.isKeyed(work.service) &&
-      this.mayResend(work, history.arrivals + 1, maximumAttempts) &&
-      this.choose(work, tried) !== undefined;
+    return request.isIdempotent &&
+      !this.context.directory.isKeyed(request.service) &&
+      this.hasRetryAllowance(request, history.arrivals + 1, maximumAttempts) &&
+      this.choose(request, tried) !== undefined;
   }
 
   private attempt(
-    work: RoutedRequest,
+    request: RoutedRequest,
     to: {
       target: MemberReport;
       cancellation: Cancellation;
@@ -175,190 +181,202 @@
     const { view, backend, loadTracker, forwarder } = this.context;
     const { target, cancellation, mayGiveUp } = to;
     if (target.address === view.ownReport.address) {
-      return backend.attempt(work, cancellation);
+      return backend.attempt(request, cancellation);
     }
     loadTracker.recordSent(target.address);
-    return forwarder.forward(work, {
+    return forwarder.forward(request, {
       daemon: target.address,
       cancellation,
       mayGiveUp,
     });
   }
 
-  private noteSize(work: RoutedRequest, outcome: Outcome): void {
+  private recordSize(request: RoutedRequest, outcome: Outcome): void {
     if (outcome.kind === "answer") {
-      const bytes = (work.body?.length ?? 0) + outcome.body.length;
-      this.context.loadTracker.recordSize(work.route, bytes);
+      const bytes = (request.body?.length ?? 0) + outcome.body.length;
+      this.context.loadTracker.recordSize(request.route, bytes);
     }
   }
 
-  /** Whether the owner of a key has refused a request in a way that another attempt can't change. */
-  private isFinalOwnerRefusal(work: RoutedRequest, outcome: Outcome): boolean {
-    return work.key !== undefined && outcome.kind === "not_run" &&
+  /** Whether a key's owner has refused the request for a reason that no further attempt can change. */
+  private isFinalOwnerRefusal(
+    request: RoutedRequest,
+    outcome: Outcome,
+  ): boolean {
+    return request.key !== undefined && outcome.kind === "not_run" &&
       FINAL_OWNER_REFUSALS.has(outcome.reason);
   }
 
   private isFinal(
-    work: RoutedRequest,
+    request: RoutedRequest,
     { target, outcome }: { target: MemberReport; outcome: Outcome },
   ): boolean {
     switch (outcome.kind) {
       case "answer":
-        return outcome.status < FIRST_FAILURE_STATUS || !work.isIdempotent ||
-          !this.mayOthersDoBetter(work, target);
+        return outcome.status < FIRST_FAILURE_STATUS || !request.isIdempotent ||
+          !this.mayOthersSucceed(request, target);
       case "not_run":
         return outcome.reason === "cancelled" ||
           outcome.reason === "quarantined";
       case "unknown":
-        return !work.isIdempotent || outcome.reason === "cancelled" ||
+        return !request.isIdempotent || outcome.reason === "cancelled" ||
           outcome.reason === "deadline";
     }
   }
 
-  /** Whether a failure that a backend server answered is its own, so that another one may answer the request. */
-  private mayOthersDoBetter(
-    work: RoutedRequest,
+  /** Whether an error response is a fault of this backend server only, so that another one may succeed. */
+  private mayOthersSucceed(
+    request: RoutedRequest,
     target: MemberReport,
   ): boolean {
     const { view, loadTracker, backend } = this.context;
-    const shareOf = (address: string) =>
+    const failureShareOf = (address: string) =>
       address === view.ownReport.address
         ? backend.failureShare
         : loadTracker.failureShareOf(address);
-    const others = view.readyOf(work.service, steadyMs())
+    const others = view.readyOf(request.service, steadyMs())
       .map(({ address }) => address)
       .filter((address) => address !== target.address);
-    return isOwnFailure(shareOf(target.address), others.map(shareOf));
+    return isOwnFailure(
+      failureShareOf(target.address),
+      others.map(failureShareOf),
+    );
   }
 
-  private mayResend(
-    work: RoutedRequest,
+  private hasRetryAllowance(
+    request: RoutedRequest,
     arrivals: number,
     maximumAttempts: number,
   ): boolean {
     const { budget, view, loadTracker } = this.context;
     const nowMs = steadyMs();
-    const usualMs = loadTracker.typicalMs(work.route);
+    const typicalMs = loadTracker.typicalMs(request.route);
     return arrivals < maximumAttempts &&
-      work.deadlineAtMs - nowMs > usualMs * USEFUL_TIME_SHARE &&
-      budget.allows(work.service, {
+      request.deadlineAtMs - nowMs > typicalMs * MIN_RETRY_TIME_SHARE &&
+      budget.allows(request.service, {
         nowMs,
         daemons: view.known.length + 1,
       });
   }
 
   private findTarget(
-    work: RoutedRequest,
+    request: RoutedRequest,
     tried: ReadonlySet<string>,
     cancellation: Cancellation,
   ): Promise<MemberReport | undefined> {
     const { directory } = this.context;
-    return directory.isKeyed(work.service)
-      ? this.findOwner(work, tried, cancellation)
-      : Promise.resolve(this.choose(work, tried));
+    return directory.isKeyed(request.service)
+      ? this.findOwner(request, tried, cancellation)
+      : Promise.resolve(this.choose(request, tried));
   }
 
   private choose(
-    work: RoutedRequest,
+    request: RoutedRequest,
     tried: ReadonlySet<string>,
   ): MemberReport | undefined {
     const { view, loadTracker, random } = this.context;
     const nowMs = steadyMs();
     const own = view.ownReport;
-    const untried = view.readyOf(work.service, nowMs)
+    const untried = view.readyOf(request.service, nowMs)
       .filter(({ address }) => !tried.has(address));
     const reachable = untried.filter(({ address }) =>
       !loadTracker.isAvoided(address, nowMs)
     );
-    const open = reachable.length > 0 ? reachable : untried;
-    if (this.context.quarantine.classify(work).kind === "suspect") {
-      return this.chooseProbation(work, open);
+    const eligible = reachable.length > 0 ? reachable : untried;
+    if (this.context.quarantine.classify(request).kind === "suspect") {
+      return this.chooseProbation(request, eligible);
     }
-    const place = {
+    const origin = {
       daemon: own.address,
       availabilityZone: own.availabilityZone,
-      route: work.route,
+      route: request.route,
       nowMs,
     };
-    this.noteOwnLoad(work.route, nowMs);
+    this.recordLocalLoad(request.route, nowMs);
     const isNear = ({ availabilityZone }: MemberReport) =>
       availabilityZone === own.availabilityZone;
-    const described = sampleBackends(open, { isNear, random }).map((report) =>
-      loadTracker.describe(report, place)
-    );
+    const described = sampleBackends(eligible, { isNear, random }).map((
+      report,
+    ) => loadTracker.describe(report, origin));
     const candidates = tried.size === 0
       ? described
-      : described.filter((candidate) => this.hasRoom(candidate, work));
+      : described.filter((candidate) => this.hasCapacity(candidate, request));
     const chosen = chooseBackend(candidates, random);
     return chosen === undefined ? undefined : view.find(chosen.daemon);
   }
 
   private chooseProbation(
-    work: RoutedRequest,
-    open: readonly MemberReport[],
+    request: RoutedRequest,
+    eligible: readonly MemberReport[],
   ): MemberReport | undefined {
     const { quarantine, view } = this.context;
-    const addresses = open.map(({ address }) => address);
-    const chosen = quarantine.chooseProbation(work, addresses);
+    const addresses = eligible.map(({ address }) => address);
+    const chosen = quarantine.chooseProbation(request, addresses);
     return chosen === undefined ? undefined : view.find(chosen);
   }
 
   /**
-   * Nobody reports the own backend server's load to its own daemon. Without this it would look idle and fast
-   * for ever, and requests that arrive here would all go to it, however full it is.
+   * Records the local backend server's load, which no other daemon reports. Without this it would look idle and fast
+   * for ever, and all requests that arrive here would be placed on it, however loaded it is.
    */
-  private noteOwnLoad(route: string, nowMs: number): void {
+  private recordLocalLoad(route: string, nowMs: number): void {
     const { view, loadTracker, backend } = this.context;
     const load = backend.loadReportFor(route);
     loadTracker.recordRouteLoad(view.ownReport.address, { route, load, nowMs });
   }
 
   /**
-   * Whether a backend server may do the work in time, after another has refused it. Under overload all
-   * are full: asking each would cost more than the answer that it saves.
+   * Whether a backend server is expected to serve a request, which another one has refused, within its objective.
+   * Under overload all are full, and trying each would cost more than the response that it saves.
    */
-  private hasRoom(candidate: PlacementCandidate, work: RoutedRequest): boolean {
-    return steadyMs() + expectedMs(candidate) < work.objectiveAtMs;
+  private hasCapacity(
+    candidate: PlacementCandidate,
+    request: RoutedRequest,
+  ): boolean {
+    return steadyMs() + expectedMs(candidate) < request.objectiveAtMs;
   }
 
-  /** Waits a little for a key that has just lost its owner: most get another within milliseconds. */
+  /** Finds a key's owner. A key that has just lost its owner is waited for: most get another within milliseconds. */
   private async findOwner(
-    work: RoutedRequest,
+    request: RoutedRequest,
     tried: ReadonlySet<string>,
     cancellation: Cancellation,
   ): Promise<MemberReport | undefined> {
     const { directory, view } = this.context;
-    if (work.key === undefined) {
+    if (request.key === undefined) {
       return undefined;
     }
-    const leftMs = work.deadlineAtMs - steadyMs();
-    const untilMs = steadyMs() + Math.min(OWNER_WAIT_MS, leftMs / 3);
+    const remainingMs = request.deadlineAtMs - steadyMs();
+    const waitUntilMs = steadyMs() +
+      Math.min(MAX_OWNER_WAIT_MS, remainingMs / 3);
     while (!cancellation.isCancelled) {
-      const daemon = directory.ownerOf(work.service, work.key);
+      const daemon = directory.ownerOf(request.service, request.key);
       const owner = daemon === undefined ? undefined : view.find(daemon);
-      if (owner !== undefined && this.isAway(owner)) {
-        // A takeover takes seconds: the caller is told now, and not after a wait.
+      if (owner !== undefined && this.isUnavailable(owner)) {
+        // A takeover takes seconds, so waiting here would only delay the caller's refusal.
         return undefined;
       }
       if (owner !== undefined && !tried.has(owner.address)) {
         return owner;
       }
-      if (steadyMs() >= untilMs) {
+      if (steadyMs() >= waitUntilMs) {
         return undefined;
       }
-      await new Promise((resolve) => setTimeout(resolve, OWNER_POLL_MS));
+      await new Promise((resolve) =>
+        setTimeout(resolve, OWNER_POLL_INTERVAL_MS)
+      );
     }
     return undefined;
   }
 
-  private isAway(owner: MemberReport): boolean {
+  private isUnavailable(owner: MemberReport): boolean {
     const { view } = this.context;
     return owner.phase === "stopping" ||
       view.silentMs(owner.address, steadyMs()) > view.silentAfterMs;
   }
 
   private logAttempt(
-    work: RoutedRequest,
+    request: RoutedRequest,
     attempt: { target: MemberReport; round: number; outcome: Outcome },
   ): void {
     const { target, round, outcome } = attempt;
@@ -366,22 +384,22 @@
       return;
     }
     this.context.logger.log("attempt_failed", {
-      request_id: work.id,
-      service: work.service,
-      key: work.key,
+      request_id: request.id,
+      service: request.service,
+      key: request.key,
       round,
       peer: target.address,
       outcome: outcome.kind,
       reason: outcome.reason,
       wait_ms: outcome.kind === "not_run" ? outcome.waitMs : undefined,
-      left_ms: Math.round(work.deadlineAtMs - steadyMs()),
+      left_ms: Math.round(request.deadlineAtMs - steadyMs()),
     });
   }
 }
 
 /**
- * Whether a suspect has had its turn: its server is gone, or has no room for it soon. Sent on from there, copies that
- * come at the same time would each end a server.
+ * Whether a suspect's attempt has used up its probation: its backend server is gone, or has no capacity soon.
+ * Retried elsewhere, concurrent copies of the request would each crash another server.
  */
 function endsProbation(outcome: Outcome): boolean {
   return outcome.kind === "unknown" && outcome.reason === "backend_lost" ||
