--- a/packages/router/src/acknowledgement_times.ts
+++ b/packages/router/src/acknowledgement_times.ts
@@ -26,7 +26,7 @@
   }
 
   /** Notes how long one took, in milliseconds. */
-  note(tookMs: number): void {
+  record(tookMs: number): void {
     this.usualMs += LEARNING_RATE * (tookMs - this.usualMs);
   }
 
--- a/packages/router/src/attempt_history.ts
+++ b/packages/router/src/attempt_history.ts
@@ -1,12 +1,12 @@
 /**
- * What the attempts for one request have come to so far.
+ * Outcomes of the attempts for one request, and the final outcome that follows from them.
  *
  * @module
  */
 import { notRun, type Outcome } from "./routed_request.ts";
 
-/** How a request ended, with what explains it afterwards. */
-export interface Ending {
+/** Final outcome of a request, with details for the log. */
+export interface FinalOutcome {
   readonly outcome: Outcome;
   /** The daemon of the last attempt; `undefined` where there was none. */
   readonly peer: string | undefined;
@@ -16,62 +16,64 @@
 /** The attempts for one request. */
 export class AttemptHistory {
   private readonly triedDaemons = new Set<string>();
-  private arrived = 0;
-  private lost = 0;
-  private last: Outcome = notRun("no_backend");
+  private arrivalCount = 0;
+  private brokenCount = 0;
+  private lastOutcome: Outcome = notRun("no_backend");
   /** The latest outcome of an attempt that may have run. */
-  private mayHaveRun: Outcome | undefined;
+  private lastPossibleRun: Outcome | undefined;
   private peer: string | undefined;
   private attempts = 0;
 
   private constructor() {}
 
-  /** Creates the history of a request of which no attempt was made. */
+  /** Creates an empty history. */
   static create(): AttemptHistory {
     return new AttemptHistory();
   }
 
-  /** Daemons that were tried. */
+  /** Addresses of the daemons that the request was sent to. */
   get tried(): ReadonlySet<string> {
     return this.triedDaemons;
   }
 
-  /** How often the request arrived at a backend server, or may have. */
+  /** Number of attempts that reached a backend server, or may have. */
   get arrivals(): number {
-    return this.arrived;
+    return this.arrivalCount;
   }
 
-  /** How many connections to backend servers broke under the request. */
+  /** Number of connections to backend servers that broke under the request. */
   get brokenConnections(): number {
-    return this.lost;
+    return this.brokenCount;
   }
 
-  /** Notes an attempt and its outcome. */
-  note(daemon: string, outcome: Outcome): void {
+  /** Records an attempt at a daemon and its outcome. */
+  record(daemon: string, outcome: Outcome): void {
     this.attempts += 1;
     this.peer = daemon;
-    this.last = outcome;
+    this.lastOutcome = outcome;
     this.triedDaemons.add(daemon);
     if (outcome.kind !== "not_run") {
-      this.mayHaveRun = outcome;
+      this.lastPossibleRun = outcome;
     }
     if (outcome.kind !== "not_run" || outcome.hasArrived) {
-      this.arrived += 1;
+      this.arrivalCount += 1;
     }
     if (outcome.kind === "unknown" && outcome.reason === "backend_lost") {
-      this.lost += 1;
+      this.brokenCount += 1;
     }
   }
 
   /**
-   * How the request ends if no further attempt is made. What goes wrong with the last outcome alone: a
-   * request is sent once more after a failure and refused there, and its caller is told that it has not
-   * run, although the first attempt may have.
+   * Returns the request's outcome if no further attempt is made. The last outcome alone would be wrong: when a request
+   * is retried after a failure and the retry is refused, its caller would be told that the request has not run, although
+   * the first attempt may have.
    */
-  end(): Ending {
+  toFinalOutcome(): FinalOutcome {
     const { peer, attempts } = this;
-    const isAnswered = this.last.kind === "answer";
-    const outcome = isAnswered ? this.last : this.mayHaveRun ?? this.last;
+    const hasResponse = this.lastOutcome.kind === "answer";
+    const outcome = hasResponse
+      ? this.lastOutcome
+      : this.lastPossibleRun ?? this.lastOutcome;
     return { outcome, peer, attempts };
   }
 }
--- a/packages/router/src/attempt_history_test.ts
+++ b/packages/router/src/attempt_history_test.ts
@@ -17,8 +17,8 @@
 
 function endAfter(...outcomes: readonly Outcome[]) {
   const history = AttemptHistory.create();
-  outcomes.forEach((outcome, index) => history.note(`d${index}`, outcome));
-  return history.end();
+  outcomes.forEach((outcome, index) => history.record(`d${index}`, outcome));
+  return history.toFinalOutcome();
 }
 
 describe("attempt history", () => {
@@ -63,9 +63,9 @@
 
   it("counts what arrived, also where it was not executed there", () => {
     const history = AttemptHistory.create();
-    history.note("a", notRun("overloaded"));
-    history.note("b", notRun("not_executed", { hasArrived: true }));
-    history.note("c", unknown("connection_lost"));
+    history.record("a", notRun("overloaded"));
+    history.record("b", notRun("not_executed", { hasArrived: true }));
+    history.record("c", unknown("connection_lost"));
     expect(history.arrivals).to.equal(2);
     expect([...history.tried]).to.deep.equal(["a", "b", "c"]);
   });
--- a/packages/router/src/backend_load_tracker.ts
+++ b/packages/router/src/backend_load_tracker.ts
@@ -1,5 +1,5 @@
 /**
- * What this daemon knows of the backend servers beside other daemons, for placing requests.
+ * Load of the backend servers, as their daemons report it, for the placement of requests.
  *
  * @module
  */
@@ -7,13 +7,13 @@
 import { type PlacementCandidate, RouteTimes } from "@bamboolink/placement";
 import type { LoadReport } from "./link_codec.ts";
 
-/** A daemon that could not be reached is left out for so long, in milliseconds, if others are there. */
-const AVOID_MS = 500;
+/** A daemon that could not be reached is avoided for so long, in milliseconds, if others are available. */
+const AVOID_DURATION_MS = 500;
 
-/** Weight of the latest request in the average size of a route's requests and answers. */
-const SIZE_RATE = 0.1;
+/** Weight of the latest request in the moving average (EWMA) of a route's request and response sizes. */
+const SIZE_EWMA_WEIGHT = 0.1;
 
-/** What is known of one backend server whatever the route. */
+/** Load of one backend server over all routes. */
 type ServerLoad = Pick<LoadReport, "waitMs" | "utilization" | "failureShare">;
 
 interface Entry {
@@ -23,7 +23,7 @@
   avoidUntilMs: number;
 }
 
-/** The last load reports, and what was sent since. */
+/** The latest load report of each daemon, and the number of requests sent to it since. */
 export class BackendLoadTracker {
   private readonly entries = new Map<string, Entry>();
   private readonly times = RouteTimes.create();
@@ -31,12 +31,12 @@
 
   private constructor() {}
 
-  /** Creates an empty board. */
+  /** Creates a tracker without reports. */
   static create(): BackendLoadTracker {
     return new BackendLoadTracker();
   }
 
-  /** Notes what a daemon says of its backend server. */
+  /** Records the load that a daemon reports for its backend server. */
   recordLoad(daemon: string, load: ServerLoad, nowMs: number): void {
     const entry = this.entryOf(daemon);
     entry.load = load;
@@ -44,12 +44,12 @@
     entry.sentSinceReport = 0;
   }
 
-  /** Notes what a daemon says of its backend server and of the requests of one route there. */
+  /** Records the load that a daemon reports for its backend server and for one route there. */
   recordRouteLoad(
     daemon: string,
-    told: { route: string; load: LoadReport; nowMs: number },
+    update: { route: string; load: LoadReport; nowMs: number },
   ): void {
-    const { route, load, nowMs } = told;
+    const { route, load, nowMs } = update;
     this.recordLoad(daemon, load, nowMs);
     if (load.serviceMs > 0) {
       this.times.note(daemon, route, {
@@ -59,41 +59,41 @@
     }
   }
 
-  /** Notes how many bytes a request of a route and its answer had. */
+  /** Records the bytes of a request of a route and its response together. */
   recordSize(route: string, bytes: number): void {
-    const known = this.sizes.get(route) ?? bytes;
-    this.sizes.set(route, known + SIZE_RATE * (bytes - known));
+    const average = this.sizes.get(route) ?? bytes;
+    this.sizes.set(route, average + SIZE_EWMA_WEIGHT * (bytes - average));
   }
 
-  /** How long a request of a route takes as a rule, in milliseconds; 0 where that is not known. */
+  /** Typical service time of a route, in milliseconds; 0 where that is not known. */
   typicalMs(route: string): number {
     return this.times.typicalMs(route);
   }
 
-  /** Share of the recent requests at a backend server that it failed, as last told. */
+  /** Share of recent requests that a backend server failed, as last reported, from 0 to 1. */
   failureShareOf(daemon: string): number {
     return this.entryOf(daemon).load.failureShare;
   }
 
-  /** Notes a request that was sent to a daemon. */
+  /** Records that a request was sent to a daemon. */
   recordSent(daemon: string): void {
     this.entryOf(daemon).sentSinceReport += 1;
   }
 
-  /** Notes that a daemon could not be reached. */
+  /** Records that a daemon could not be reached. */
   markUnreachable(daemon: string, nowMs: number): void {
-    this.entryOf(daemon).avoidUntilMs = nowMs + AVOID_MS;
+    this.entryOf(daemon).avoidUntilMs = nowMs + AVOID_DURATION_MS;
   }
 
-  /** Whether a daemon could not be reached just now. */
+  /** Whether a daemon is avoided because it could not be reached. */
   isAvoided(daemon: string, nowMs: number): boolean {
     return this.entryOf(daemon).avoidUntilMs > nowMs;
   }
 
-  /** Describes a backend server for the placement of a request of a route. */
-  describe(
+  /** Returns a backend server as a candidate for the placement of a request of a route. */
+  toCandidate(
     report: MemberReport,
-    own: {
+    origin: {
       daemon: string;
       availabilityZone: string;
       route: string;
@@ -105,14 +105,18 @@
     );
     return {
       daemon: report.address,
-      isLocal: report.address === own.daemon,
-      isSameZone: report.availabilityZone === own.availabilityZone,
+      isLocal: report.address === origin.daemon,
+      isSameZone: report.availabilityZone === origin.availabilityZone,
       slots: report.slots,
       ...load,
-      serviceMs: this.times.expectMs(report.address, own.route, own.nowMs),
+      serviceMs: this.times.expectMs(
+        report.address,
+        origin.route,
+        origin.nowMs,
+      ),
       meanServiceMs: report.serviceMs,
-      transferBytes: this.sizes.get(own.route) ?? 0,
-      reportAgeMs: Math.max(0, own.nowMs - reportedAtMs),
+      transferBytes: this.sizes.get(origin.route) ?? 0,
+      reportAgeMs: Math.max(0, origin.nowMs - reportedAtMs),
       sentSinceReport,
     };
   }
--- a/packages/router/src/forwarder.ts
+++ b/packages/router/src/forwarder.ts
@@ -1,5 +1,5 @@
 /**
- * Sends requests to the daemons beside other backend servers.
+ * Forwards requests to the daemons of other backend servers, over one link per daemon.
  *
  * @module
  */
@@ -17,32 +17,32 @@
   unknown,
 } from "./routed_request.ts";
 
-/** A link on which nothing was sent for so long is closed, in milliseconds: most pairs of daemons rest. */
-const IDLE_MS = 20_000;
+/** A link that has been idle for so long is closed, in milliseconds: most pairs of daemons rarely exchange requests. */
+const LINK_IDLE_TIMEOUT_MS = 20_000;
 
-/** What the forwarder needs. */
+/** Dependencies of {@link Forwarder}. */
 export interface ForwarderContext {
   readonly logger: Logger;
-  /** Called with what another daemon says of its backend server and of a route there. */
+  /** Called with the load that another daemon reports for its backend server and a route there. */
   readonly onLoad: (daemon: string, route: string, load: LoadReport) => void;
-  /** Called when a daemon can't be reached. */
+  /** Called when a daemon is unreachable. */
   readonly onUnreachable: (daemon: string) => void;
 }
 
-/** Where a request goes, and until when it is wanted. */
+/** Destination of a request, and the conditions for abandoning it. */
 export interface ForwardTarget {
-  /** Address of the daemon; its links are taken there. */
+  /** Address of the daemon, where it accepts links. */
   readonly daemon: string;
   readonly cancellation: Cancellation;
-  /** Whether the request is better sent elsewhere than left with a daemon that says nothing. */
+  /** Whether the request should be retried elsewhere rather than left with a daemon that doesn't acknowledge it. */
   readonly mayGiveUp: () => boolean;
 }
 
-/** The ways to all other daemons. */
+/** The links to all other daemons. */
 export class Forwarder {
-  /** The link to each daemon that new requests are sent on. */
+  /** The link of each daemon for new requests. */
   private readonly links = new Map<string, LinkClient>();
-  /** Links that have gone silent, with what is still under way on them. */
+  /** Unresponsive or unusable links, kept until the requests in flight on them have ended. */
   private retired: LinkClient[] = [];
   private readonly acknowledgements = AcknowledgementTimes.create();
 
@@ -53,38 +53,39 @@
     return new Forwarder(context);
   }
 
-  /** Sends a request to a daemon. It never throws. */
-  forward(work: RoutedRequest, to: ForwardTarget): Promise<Outcome> {
+  /** Sends a request to a daemon, and returns its outcome. It never throws. */
+  forward(request: RoutedRequest, to: ForwardTarget): Promise<Outcome> {
     const { cancellation, mayGiveUp } = to;
     if (cancellation.isCancelled) {
       return Promise.resolve(notRun("cancelled"));
     }
     const { daemon } = to;
-    const link = this.linkTo(daemon);
+    const link = this.acquireLink(daemon);
     const sentAtMs = steadyMs();
     return new Promise((resolve) => {
       const finish = (outcome: Outcome) => {
         cancellation.remove(cancel);
         resolve(outcome);
       };
-      const lose = (isSent: boolean, cause?: BamboolinkError) => {
-        this.noteUnreachable(work, { daemon, cause });
+      const handleLoss = (isSent: boolean, cause?: BamboolinkError) => {
+        this.reportUnreachable(request, { daemon, cause });
         finish(
           isSent ? unknown("connection_lost") : notRun("peer_unreachable"),
         );
       };
-      const id = link.send(work, {
-        onAcknowledged: () => this.acknowledgements.note(steadyMs() - sentAtMs),
+      const id = link.send(request, {
+        onAcknowledged: () =>
+          this.acknowledgements.record(steadyMs() - sentAtMs),
         onOutcome: (outcome, load) => {
-          this.context.onLoad(daemon, work.route, load);
+          this.context.onLoad(daemon, request.route, load);
           finish(outcome);
         },
         onSilent: () => {
           if (mayGiveUp()) {
-            lose(link.cancel(id));
+            handleLoss(link.cancel(id));
           }
         },
-        onLost: lose,
+        onLost: handleLoss,
       });
       const cancel = () => {
         const reason = cancellation.reason ?? "cancelled";
@@ -94,12 +95,14 @@
     });
   }
 
-  /** Gives up on daemons that say nothing, and closes links that are not needed any more. */
+  /** Abandons requests at unresponsive daemons, and closes idle links. Called by a timer. */
   tick(): void {
     const nowMs = steadyMs();
-    this.links.forEach((link, daemon) => this.review(link, { daemon, nowMs }));
+    this.links.forEach((link, daemon) =>
+      this.checkLink(link, { daemon, nowMs })
+    );
     this.retired = this.retired.filter((link) => {
-      this.giveUpSilent(link, nowMs);
+      this.notifyUnresponsive(link, nowMs);
       if (link.isIdle) {
         link.close();
       }
@@ -114,53 +117,55 @@
     this.retired = [];
   }
 
-  private review(
+  private checkLink(
     link: LinkClient,
     at: { daemon: string; nowMs: number },
   ): void {
     const { daemon, nowMs } = at;
     if (link.isIdle) {
-      if (!link.isUsable || nowMs - link.lastUsedMs > IDLE_MS) {
+      if (!link.isUsable || nowMs - link.lastUsedMs > LINK_IDLE_TIMEOUT_MS) {
         this.links.delete(daemon);
         link.close();
       }
       return;
     }
-    const silent = this.findSilent(link, nowMs);
-    if (silent.some(({ sentAtMs }) => link.lastHeardMs < sentAtMs)) {
-      // The connection may be dead while new ones work; what is under way on it stays there.
+    const overdue = this.findOverdue(link, nowMs);
+    if (overdue.some(({ sentAtMs }) => link.lastHeardMs < sentAtMs)) {
+      // The connection may be dead although a new one would work. Requests in flight stay on it.
       this.links.delete(daemon);
       this.retired.push(link);
     }
-    silent.forEach(({ listener }) => listener.onSilent());
+    overdue.forEach(({ listener }) => listener.onSilent());
   }
 
-  private giveUpSilent(link: LinkClient, nowMs: number): void {
-    this.findSilent(link, nowMs).forEach(({ listener }) => listener.onSilent());
+  private notifyUnresponsive(link: LinkClient, nowMs: number): void {
+    this.findOverdue(link, nowMs).forEach(({ listener }) =>
+      listener.onSilent()
+    );
   }
 
-  /** Requests that should have been acknowledged long ago. */
-  private findSilent(link: LinkClient, nowMs: number): LinkRequest[] {
+  /** Finds requests that have not been acknowledged within the learned time limit. */
+  private findOverdue(link: LinkClient, nowMs: number): LinkRequest[] {
     const { limitMs } = this.acknowledgements;
     return link.findUnacknowledged().filter(({ sentAtMs }) =>
       nowMs - sentAtMs > limitMs
     );
   }
 
-  private noteUnreachable(
-    work: RoutedRequest,
+  private reportUnreachable(
+    request: RoutedRequest,
     loss: { daemon: string; cause: BamboolinkError | undefined },
   ): void {
     const { daemon, cause } = loss;
     this.context.logger.log("peer_unreachable", {
-      request_id: work.id,
+      request_id: request.id,
       peer: daemon,
       cause: cause ?? "silent",
     });
     this.context.onUnreachable(daemon);
   }
 
-  private linkTo(daemon: string): LinkClient {
+  private acquireLink(daemon: string): LinkClient {
     const known = this.links.get(daemon);
     if (known?.isUsable === true) {
       return known;
--- a/packages/router/src/http_body.ts
+++ b/packages/router/src/http_body.ts
@@ -46,7 +46,7 @@
 }
 
 /** Whether the other side has closed its connection, or this side has. */
-export function hasLeft(message: IncomingMessage): boolean {
+export function hasDisconnected(message: IncomingMessage): boolean {
   const { socket } = message;
   return socket.destroyed || socket.readableEnded || socket.writableEnded;
 }
--- a/packages/router/src/ingress.ts
+++ b/packages/router/src/ingress.ts
@@ -20,14 +20,14 @@
 import { fingerprintRequest } from "@bamboolink/quarantine";
 import { ConnectionOrder, TrafficSplit } from "@bamboolink/traffic";
 import type { CallerLimits, TrafficRoute } from "@bamboolink/types";
-import type { Ending } from "./attempt_history.ts";
+import type { FinalOutcome } from "./attempt_history.ts";
 import { Cancellation } from "./cancellation.ts";
 import { steadyMs } from "./clock.ts";
 import type {
   ConfigurationInForce,
   ConfigurationKeeper,
 } from "./configuration_keeper.ts";
-import { hasLeft, readBody } from "./http_body.ts";
+import { hasDisconnected, readBody } from "./http_body.ts";
 import { selectRequestHeaders } from "./http_headers.ts";
 import type {
   CallerProtocol,
@@ -192,7 +192,7 @@
     const arrivedAtMs = steadyMs() - lag.currentMs;
     response.sendDate = false;
     await lag.awaitPendingReads({ isFirst: this.isFirst(incoming.socket) });
-    if (hasLeft(incoming)) {
+    if (hasDisconnected(incoming)) {
       response.destroy();
       return undefined;
     }
@@ -331,8 +331,8 @@
       { incoming, request, arrivedAtMs, body: read.body },
       match,
     );
-    const ending = await this.runUntilDeadline(routed, response, match.route);
-    return this.respond(response, { ending, routed });
+    const final = await this.runUntilDeadline(routed, response, match.route);
+    return this.respond(response, { final, routed });
   }
 
   /**
@@ -397,7 +397,7 @@
     routed: RoutedRequest,
     response: ServerResponse,
     route: TrafficRoute,
-  ): Promise<Ending> {
+  ): Promise<FinalOutcome> {
     const cancellation = Cancellation.create();
     const timer = setTimeout(
       () => cancellation.cancel("deadline"),
@@ -418,10 +418,10 @@
 
   private respond(
     response: ServerResponse,
-    completed: { ending: Ending; routed: CallerRoutedRequest },
+    completed: { final: FinalOutcome; routed: CallerRoutedRequest },
   ): string {
     const { routed } = completed;
-    const { outcome, peer, attempts } = completed.ending;
+    const { outcome, peer, attempts } = completed.final;
     if (response.destroyed) {
       return "caller_left";
     }
@@ -505,20 +505,20 @@
   ): void {
     const { routed, bytes } = delivery;
     const { socket } = response.req;
-    let hasLeft = false;
+    let isSent = false;
     response.once("finish", () => {
       // Also emitted when a connection is destroyed with the response in its buffer.
-      hasLeft = !socket.destroyed;
+      isSent = !socket.destroyed;
     });
     response.once("close", () => {
-      if (hasLeft) {
+      if (isSent) {
         return;
       }
-      const isCallers = socket.readableEnded || socket.errored !== null;
+      const isEndedByCaller = socket.readableEnded || socket.errored !== null;
       this.context.logger.log("answer_undelivered", {
         request_id: routed.id,
         route: routed.route,
-        ended_by: isCallers ? "caller" : "daemon",
+        ended_by: isEndedByCaller ? "caller" : "daemon",
         bytes,
         is_stopping: this.isStopping,
       });
--- a/packages/router/src/load_meter.ts
+++ b/packages/router/src/load_meter.ts
@@ -25,12 +25,12 @@
   }
 
   /** Notes offered work, in milliseconds of a slot. */
-  noteOffered(workMs: number): void {
+  recordOffered(workMs: number): void {
     this.offeredMs += workMs;
   }
 
   /** Notes whether the backend server failed a request. */
-  noteResult(isFailure: boolean): void {
+  recordResult(isFailure: boolean): void {
     this.failures += FAILURE_RATE * ((isFailure ? 1 : 0) - this.failures);
   }
 
--- a/packages/router/src/local_backend.ts
+++ b/packages/router/src/local_backend.ts
@@ -278,7 +278,7 @@
     },
   ): Promise<Outcome> {
     const { cancellation, estimateMs, isOnProbation = false } = entry;
-    this.meter.noteOffered(estimateMs);
+    this.meter.recordOffered(estimateMs);
     this.totals.offered += 1;
     if (request.key !== undefined) {
       this.profile.note(request.key, estimateMs);
@@ -546,7 +546,7 @@
     const isFailure = outcome.kind === "unknown" ||
       outcome.kind === "answer" && outcome.status >= 500 ||
       outcome.kind === "not_run" && outcome.hasArrived;
-    this.meter.noteResult(isFailure);
+    this.meter.recordResult(isFailure);
   }
 
   private releaseSlot(id: number): void {
--- a/packages/router/src/loop_lag_test.ts
+++ b/packages/router/src/loop_lag_test.ts
@@ -6,7 +6,7 @@
 import { createServer, type IncomingMessage } from "node:http";
 import { type AddressInfo, connect } from "node:net";
 import { expect } from "chai";
-import { hasLeft } from "./http_body.ts";
+import { hasDisconnected } from "./http_body.ts";
 import { LoopLag } from "./loop_lag.ts";
 
 /** A measure fed by a timer of 50 ms, on a clock that is set by hand. */
@@ -77,7 +77,7 @@
       return new Promise((resolve) => {
         const serve = async (incoming: IncomingMessage) => {
           await lag.awaitPendingReads(request);
-          resolve(hasLeft(incoming));
+          resolve(hasDisconnected(incoming));
         };
         const server = createServer((incoming) => void serve(incoming));
         server.listen(0, "127.0.0.1", () => {
--- a/packages/router/src/probation.ts
+++ b/packages/router/src/probation.ts
@@ -1,5 +1,5 @@
 /**
- * Has suspects run one at a time on the backend server here.
+ * Runs suspect requests one at a time on the local backend server.
  *
  * @module
  */
@@ -8,35 +8,38 @@
 import { steadyMs } from "./clock.ts";
 import { notRun, type Outcome, type RoutedRequest } from "./routed_request.ts";
 
-/** One suspect's way through the lane. */
+/** A suspect request in the queue of suspects. */
 export interface ProbationEntry {
   readonly cancellation: Cancellation;
-  /** What a request of its route takes as a rule, in milliseconds. */
+  /** Typical service time of its route, in milliseconds. */
   readonly estimateMs: number;
 }
 
-/** The suspects at one backend server. */
+/** The queue of suspect requests at one backend server. */
 export class Probation {
-  private readonly lane = ProbationLane.create();
-  private readonly turns = new Map<number, () => void>();
+  private readonly queue = ProbationLane.create();
+  private readonly startsById = new Map<number, () => void>();
   private lastId = 0;
 
   private constructor() {}
 
-  /** Creates one without suspects. */
   static create(): Probation {
     return new Probation();
   }
 
-  /** Runs a suspect when no other one runs here, or refuses it if that would be too late. */
+  /**
+   * Runs a suspect once no other one runs here, or refuses it if it would miss its deadline.
+   *
+   * @param runNow runs the request; called at most once.
+   */
   async run(
-    work: RoutedRequest,
+    request: RoutedRequest,
     entry: ProbationEntry,
     runNow: () => Promise<Outcome>,
   ): Promise<Outcome> {
     const { cancellation, estimateMs } = entry;
-    const waitMs = this.lane.length * estimateMs;
-    if (steadyMs() + waitMs + estimateMs > work.deadlineAtMs) {
+    const waitMs = this.queue.length * estimateMs;
+    if (steadyMs() + waitMs + estimateMs > request.deadlineAtMs) {
       return notRun("too_late", { waitMs });
     }
     this.lastId += 1;
@@ -45,23 +48,23 @@
       await this.awaitTurn(id, cancellation);
       return cancellation.isCancelled ? notRun("cancelled") : await runNow();
     } finally {
-      const next = this.lane.leave(id);
-      this.turns.get(next ?? 0)?.();
+      const next = this.queue.leave(id);
+      this.startsById.get(next ?? 0)?.();
     }
   }
 
   private awaitTurn(id: number, cancellation: Cancellation): Promise<void> {
-    if (this.lane.enter(id)) {
+    if (this.queue.enter(id)) {
       return Promise.resolve();
     }
     return new Promise((resolve) => {
-      const end = () => {
-        this.turns.delete(id);
-        cancellation.remove(end);
+      const finish = () => {
+        this.startsById.delete(id);
+        cancellation.remove(finish);
         resolve();
       };
-      this.turns.set(id, end);
-      cancellation.onCancel(end);
+      this.startsById.set(id, finish);
+      cancellation.onCancel(finish);
     });
   }
 }
--- a/packages/router/src/request_quarantine.ts
+++ b/packages/router/src/request_quarantine.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps requests from backend servers that end under them, and tells other daemons of it.
+ * Quarantines requests that crash backend servers, and shares that state with the other daemons.
  *
  * @module
  */
@@ -17,139 +17,144 @@
 import type { Datagram } from "./datagram_codec.ts";
 import type { RoutedRequest } from "./routed_request.ts";
 
-/** Time between two retellings of what is quarantined, in milliseconds: a daemon that starts knows soon. */
-const RETELL_MS = 1_000;
-/** The most requests that one datagram tells of, so that it travels in one piece. */
-const LARGEST_NEWS = 16;
-/** A request under which so many connections broke in one attempt is a suspect whether a server's end is known or not. */
-const LARGEST_LOST_RUNS = 2;
-/** Crashes are identified by a random number below this. */
-const CRASH_IDS = 2 ** 32;
+/** Interval of repeated reports of quarantined requests, in milliseconds, for daemons that have just started. */
+const REPEAT_INTERVAL_MS = 1_000;
+/** Maximum requests in one datagram, so that it is not fragmented. */
+const MAX_REQUESTS_PER_UPDATE = 16;
+/** A request under which so many connections broke in one attempt is a suspect even if no crash is known. */
+const MAX_BROKEN_CONNECTIONS = 2;
+/** A crash is identified by a random integer below this. */
+const CRASH_ID_RANGE = 2 ** 32;
 
-/** What one daemon tells others of requests under which servers ended. */
+/** Message between daemons on requests under which backend servers crashed. */
 export type QuarantineUpdate = Extract<
   Datagram,
   { kind: "crash_reports" | "cleared" }
 >;
 
-/** What the quarantine needs. */
+/** Dependencies of {@link RequestQuarantine}. */
 export interface RequestQuarantineContext {
-  /** Address of the own daemon, which names it to others. */
+  /** Address of this daemon, which identifies it to others. */
   readonly address: string;
   readonly logger: Logger;
   readonly random: () => number;
   readonly nowMs: () => number;
-  /** Tells all living daemons. */
-  readonly broadcast: (news: QuarantineUpdate) => void;
-  /** Tells a few living daemons, others each time. */
-  readonly sendToSome: (news: QuarantineUpdate) => void;
+  /** Sends an update to all living daemons. */
+  readonly broadcast: (update: QuarantineUpdate) => void;
+  /** Sends an update to a few living daemons, different ones each time. */
+  readonly sendToSome: (update: QuarantineUpdate) => void;
 }
 
 const CLEAR: Standing = { kind: "clear" };
 const SUSPECT: Standing = { kind: "suspect" };
 
-/** One daemon's knowledge of requests under which backend servers end. */
+/** One daemon's state of the requests that are suspected of crashing backend servers or quarantined. */
 export class RequestQuarantine {
-  private readonly lost = LostRuns.create();
-  private readonly answers = RecentAnswers.create();
+  private readonly lostRuns = LostRuns.create();
+  private readonly recentResponses = RecentAnswers.create();
   private readonly tracker: PoisonRequestTracker;
-  /** Names of requests that are under way: each is judged several times. */
-  private readonly names = new WeakMap<RoutedRequest, string>();
-  /** Whether the process of the backend server has ended and no other one is known yet. */
-  private hasEnded = false;
-  private retoldAtMs = -Infinity;
+  /** Cached fingerprints of requests in flight: each request is classified several times. */
+  private readonly fingerprintCache = new WeakMap<RoutedRequest, string>();
+  /** Whether the backend server's process has crashed and no other one is known yet. */
+  private hasCrashed = false;
+  private lastRepeatAtMs = -Infinity;
 
   private constructor(private readonly context: RequestQuarantineContext) {
     this.tracker = PoisonRequestTracker.create(context.random);
   }
 
-  /** Creates one that knows of nothing. */
+  /** Creates one without suspects. */
   static create(context: RequestQuarantineContext): RequestQuarantine {
     return new RequestQuarantine(context);
   }
 
-  /** How many requests are quarantined. */
+  /** Number of quarantined requests. */
   get count(): number {
     return this.tracker.countQuarantined(this.context.nowMs());
   }
 
-  /** How a request may be run. Requests are named only while there is a suspect: it costs a hash of their bodies. */
-  classify(work: RoutedRequest): Standing {
-    if (!this.isOfInterest(work)) {
+  /**
+   * Returns how a request may be run. Fingerprints are computed only while there are suspects: they hash the requests'
+   * bodies.
+   */
+  classify(request: RoutedRequest): Standing {
+    if (!this.needsClassification(request)) {
       return CLEAR;
     }
     const nowMs = this.context.nowMs();
-    const fingerprint = this.nameOf(work);
-    const standing = this.tracker.judge(fingerprint, nowMs);
-    const isSuspect = standing.kind === "clear" && work.brokenConnections > 0 &&
+    const fingerprint = this.fingerprintOf(request);
+    const classification = this.tracker.judge(fingerprint, nowMs);
+    const isSuspect = classification.kind === "clear" &&
+      request.brokenConnections > 0 &&
       !this.tracker.isCleared(fingerprint, nowMs);
-    return isSuspect ? SUSPECT : standing;
+    return isSuspect ? SUSPECT : classification;
   }
 
   /**
-   * Whether a request may be sent on from a server that is gone or has no room. A suspect is not: the server may have
-   * ended under another copy of it a moment ago, and the next one would.
+   * Whether a request may be retried after a server that is gone or has no capacity. A suspect may not: the server may
+   * just have crashed under another copy of it, and the next one would.
    *
-   * @param brokenConnections how many connections to backend servers broke under it in this attempt.
+   * @param brokenConnections how many connections to backend servers broke under it in this attempt of its caller.
    */
-  mayRetry(work: RoutedRequest, brokenConnections: number): boolean {
+  mayRetry(request: RoutedRequest, brokenConnections: number): boolean {
     const isSuspect = !this.tracker.isEmpty &&
-      this.tracker.judge(this.nameOf(work), this.context.nowMs()).kind !==
+      this.tracker.judge(this.fingerprintOf(request), this.context.nowMs())
+          .kind !==
         "clear";
-    return brokenConnections < LARGEST_LOST_RUNS && !isSuspect;
+    return brokenConnections < MAX_BROKEN_CONNECTIONS && !isSuspect;
   }
 
-  /** Chooses the daemon beside whose backend server a suspect runs. */
+  /** Chooses the daemon at whose backend server a suspect runs. */
   chooseProbation(
-    work: RoutedRequest,
+    request: RoutedRequest,
     addresses: readonly string[],
   ): string | undefined {
-    return chooseProbation(this.nameOf(work), addresses);
+    return chooseProbation(this.fingerprintOf(request), addresses);
   }
 
-  /** Notes that the backend server here has answered a request. */
-  recordResponse(work: RoutedRequest): void {
+  /** Records that the local backend server has responded to a request. */
+  recordResponse(request: RoutedRequest): void {
     const { address: sender, nowMs, broadcast, logger } = this.context;
-    // A process that refused connections for a moment may be the same that answers now.
-    this.hasEnded = false;
-    this.lost.noteAnswered(nowMs());
-    this.answers.note(work);
-    if (!this.isOfInterest(work)) {
+    // A process that refused connections for a moment may be the one that responds now.
+    this.hasCrashed = false;
+    this.lostRuns.noteAnswered(nowMs());
+    this.recentResponses.note(request);
+    if (!this.needsClassification(request)) {
       return;
     }
-    const fingerprint = this.nameOf(work);
+    const fingerprint = this.fingerprintOf(request);
     if (this.tracker.recordAnswer(fingerprint, nowMs())) {
-      logger.log("request_cleared", { request_id: work.id, fingerprint });
+      logger.log("request_cleared", { request_id: request.id, fingerprint });
       broadcast({ kind: "cleared", sender, fingerprints: [fingerprint] });
     }
   }
 
   /**
-   * Notes that the connection to the backend server here broke while it ran a request.
+   * Records that the connection to the local backend server broke while it ran a request.
    *
-   * @param isOnProbation whether it ran as the only suspect there.
+   * @param isOnProbation whether the request was the only suspect that it ran.
    */
-  recordBrokenConnection(work: RoutedRequest, isOnProbation: boolean): void {
-    if (this.hasEnded) {
-      // The process is gone already, and did not end under what comes too late for it.
+  recordBrokenConnection(request: RoutedRequest, isOnProbation: boolean): void {
+    if (this.hasCrashed) {
+      // The process had crashed before, so it can't have crashed under this request.
       return;
     }
-    this.lost.noteLost({
-      requestId: work.id,
-      fingerprint: this.nameOf(work),
+    this.lostRuns.noteLost({
+      requestId: request.id,
+      fingerprint: this.fingerprintOf(request),
       isOnProbation,
       atMs: this.context.nowMs(),
     });
   }
 
-  /** Notes that the process of the backend server here has ended. */
+  /** Records that the local backend server's process has ended. */
   recordBackendEnd({ instance, proof }: BackendEnd): void {
     const { logger, nowMs, random } = this.context;
-    // Refused: nobody listens until the next process comes. Replaced: it is there.
-    this.hasEnded = proof === "refused";
-    const answered = this.answers.takeAll();
-    const runs = this.lost.takeEnded(nowMs())
-      .filter(({ fingerprint }) => !answered.has(fingerprint));
+    // Refused: nothing listens until the next process starts. Replaced: the next process already runs.
+    this.hasCrashed = proof === "refused";
+    const answeredFingerprints = this.recentResponses.takeAll();
+    const runs = this.lostRuns.takeEnded(nowMs())
+      .filter(({ fingerprint }) => !answeredFingerprints.has(fingerprint));
     if (runs.length === 0) {
       return;
     }
@@ -161,73 +166,76 @@
       on_probation: runs.map(({ isOnProbation }) => isOnProbation),
     });
     const { reports, cleared } = this.tracker.recordCrash(
-      { id: Math.floor(random() * CRASH_IDS), runs },
+      { id: Math.floor(random() * CRASH_ID_RANGE), runs },
       nowMs(),
     );
     reports.forEach((report) => this.logReport(report));
-    this.tellReports(reports, this.context.broadcast);
-    this.tellCleared(cleared);
+    this.sendReports(reports, this.context.broadcast);
+    this.broadcastCleared(cleared);
   }
 
-  /** Takes what another daemon tells. */
-  applyUpdate(news: QuarantineUpdate): void {
+  /** Applies an update from another daemon. */
+  applyUpdate(update: QuarantineUpdate): void {
     const nowMs = this.context.nowMs();
-    if (news.kind === "cleared") {
-      news.fingerprints.forEach((fingerprint) => {
+    if (update.kind === "cleared") {
+      update.fingerprints.forEach((fingerprint) => {
         if (this.tracker.recordAnswer(fingerprint, nowMs)) {
-          const { sender: peer } = news;
+          const { sender: peer } = update;
           this.context.logger.log("request_cleared", { peer, fingerprint });
         }
       });
       return;
     }
-    const reports = news.suspected.map((row): CrashReport => {
-      const [fingerprint, crashes, quarantines, remainingMs] = row;
+    const reports = update.suspected.map((entry): CrashReport => {
+      const [fingerprint, crashes, quarantines, remainingMs] = entry;
       return { fingerprint, crashes, quarantines, remainingMs };
     });
-    const found = this.tracker.recordReports(reports, nowMs);
-    found.news.forEach((report) => this.logReport(report, news.sender));
-    this.tellCleared(found.cleared);
+    const merged = this.tracker.recordReports(reports, nowMs);
+    merged.news.forEach((report) => this.logReport(report, update.sender));
+    this.broadcastCleared(merged.cleared);
   }
 
-  /** Retells what is quarantined, for those who were not there when it was told, and forgets what is long past. */
+  /**
+   * Repeats the reports of quarantined requests, for daemons that missed them, and removes expired state. Called by a
+   * timer.
+   */
   tick(): void {
     const nowMs = this.context.nowMs();
-    if (nowMs - this.retoldAtMs < RETELL_MS) {
+    if (nowMs - this.lastRepeatAtMs < REPEAT_INTERVAL_MS) {
       return;
     }
-    this.retoldAtMs = nowMs;
+    this.lastRepeatAtMs = nowMs;
     this.tracker.prune(nowMs);
-    this.tellReports(
+    this.sendReports(
       this.tracker.findQuarantines(nowMs),
       this.context.sendToSome,
     );
   }
 
-  private nameOf(work: RoutedRequest): string {
-    const known = this.names.get(work);
+  private fingerprintOf(request: RoutedRequest): string {
+    const known = this.fingerprintCache.get(request);
     if (known !== undefined) {
       return known;
     }
-    const name = fingerprintRequest(work);
-    this.names.set(work, name);
-    return name;
+    const fingerprint = fingerprintRequest(request);
+    this.fingerprintCache.set(request, fingerprint);
+    return fingerprint;
   }
 
-  private isOfInterest(work: RoutedRequest): boolean {
-    return work.brokenConnections > 0 || !this.tracker.isEmpty;
+  private needsClassification(request: RoutedRequest): boolean {
+    return request.brokenConnections > 0 || !this.tracker.isEmpty;
   }
 
-  private tellReports(
+  private sendReports(
     reports: readonly CrashReport[],
-    tell: (news: QuarantineUpdate) => void,
+    send: (update: QuarantineUpdate) => void,
   ): void {
     const { address: sender } = this.context;
-    inPieces(reports).forEach((piece) =>
-      tell({
+    toChunks(reports).forEach((chunk) =>
+      send({
         kind: "crash_reports",
         sender,
-        suspected: piece.map((
+        suspected: chunk.map((
           { fingerprint, crashes, quarantines, remainingMs },
         ) => [
           fingerprint,
@@ -239,20 +247,20 @@
     );
   }
 
-  private tellCleared(fingerprints: readonly string[]): void {
+  private broadcastCleared(fingerprints: readonly string[]): void {
     const { address: sender, broadcast } = this.context;
-    inPieces(fingerprints).forEach((piece) =>
-      broadcast({ kind: "cleared", sender, fingerprints: piece })
+    toChunks(fingerprints).forEach((chunk) =>
+      broadcast({ kind: "cleared", sender, fingerprints: chunk })
     );
   }
 
-  /** Logs what is believed of a request now. */
+  /** Logs the present classification of a reported request. */
   private logReport(report: CrashReport, peer?: string): void {
     const { logger, nowMs } = this.context;
     const { fingerprint, crashes } = report;
-    const standing = this.tracker.judge(fingerprint, nowMs());
-    if (standing.kind === "quarantined") {
-      const left_ms = Math.round(standing.remainingMs);
+    const classification = this.tracker.judge(fingerprint, nowMs());
+    if (classification.kind === "quarantined") {
+      const left_ms = Math.round(classification.remainingMs);
       logger.log("request_quarantined", {
         fingerprint,
         crashes,
@@ -265,10 +273,14 @@
   }
 }
 
-function inPieces<T>(items: readonly T[]): T[][] {
-  const count = Math.ceil(items.length / LARGEST_NEWS);
+function toChunks<T>(items: readonly T[]): T[][] {
+  const count = Math.ceil(items.length / MAX_REQUESTS_PER_UPDATE);
   return Array.from(
     { length: count },
-    (_, index) => items.slice(index * LARGEST_NEWS, (index + 1) * LARGEST_NEWS),
+    (_, index) =>
+      items.slice(
+        index * MAX_REQUESTS_PER_UPDATE,
+        (index + 1) * MAX_REQUESTS_PER_UPDATE,
+      ),
   );
 }
--- a/packages/router/src/request_runner.ts
+++ b/packages/router/src/request_runner.ts
@@ -13,7 +13,7 @@
   type PlacementCandidate,
   sampleBackends,
 } from "@bamboolink/placement";
-import { AttemptHistory, type Ending } from "./attempt_history.ts";
+import { AttemptHistory, type FinalOutcome } from "./attempt_history.ts";
 import type { BackendLoadTracker } from "./backend_load_tracker.ts";
 import type { Cancellation } from "./cancellation.ts";
 import { steadyMs } from "./clock.ts";
@@ -89,7 +89,7 @@
   async run(
     request: RoutedRequest,
     options: { maximumAttempts: number; cancellation: Cancellation },
-  ): Promise<Ending> {
+  ): Promise<FinalOutcome> {
     const { cancellation, maximumAttempts } = options;
     const history = AttemptHistory.create();
     const classification = this.context.quarantine.classify(request);
@@ -110,10 +110,10 @@
         cancellation,
       );
       if (target === undefined) {
-        return history.end();
+        return history.toFinalOutcome();
       }
       if (!this.mayAttempt(current, history.arrivals, maximumAttempts)) {
-        return history.end();
+        return history.toFinalOutcome();
       }
       const outcome = await this.attempt(current, {
         target,
@@ -121,7 +121,7 @@
         mayGiveUp: () =>
           this.mayGiveUp(request, { target, history, maximumAttempts }),
       });
-      history.note(target.address, outcome);
+      history.record(target.address, outcome);
       this.recordSize(request, outcome);
       if (
         cancellation.isCancelled ||
@@ -130,11 +130,11 @@
         endsProbation(outcome) &&
           !this.context.quarantine.mayRetry(request, history.brokenConnections)
       ) {
-        return history.end();
+        return history.toFinalOutcome();
       }
       this.logAttempt(request, { target, round, outcome });
     }
-    return history.end();
+    return history.toFinalOutcome();
   }
 
   /** Whether an attempt may be made. A retry of a request that may have run is charged to the retry budget. */
@@ -297,7 +297,7 @@
       availabilityZone === own.availabilityZone;
     const described = sampleBackends(eligible, { isNear, random }).map((
       report,
-    ) => loadTracker.describe(report, origin));
+    ) => loadTracker.toCandidate(report, origin));
     const candidates = tried.size === 0
       ? described
       : described.filter((candidate) => this.hasCapacity(candidate, request));
--- a/packages/router/src/routed_request.ts
+++ b/packages/router/src/routed_request.ts
@@ -1,97 +1,100 @@
 /**
- * A request on its way through the router, and what becomes of it.
+ * A request on its way from a caller to a backend server, and its possible outcomes.
  *
  * @module
  */
 import type { Cancellation } from "./cancellation.ts";
 import type { AnswerHeaders } from "./exchange.ts";
 
-/** A request on its way to a backend server. Times are on the steady clock of the holding daemon. */
+/** A request to be sent to a backend server. Times are on the steady clock of the daemon that holds it, in milliseconds. */
 export interface RoutedRequest {
   readonly id: string;
   readonly service: string;
-  /** Name of the route; requests of one route take about the same time. */
+  /** Name of the route; requests of one route have similar service times. */
   readonly route: string;
+  /** Urgency; 0 is the most urgent. */
   readonly rank: number;
   readonly isIdempotent: boolean;
   readonly key: number | undefined;
-  /** The service on the host where the request began. */
+  /** The service on the host where the caller sent the request. */
   readonly callerService: string;
+  /** When its latency objective ends. */
   readonly objectiveAtMs: number;
+  /** When its response is of no more use to its caller. */
   readonly deadlineAtMs: number;
-  /** Whether it may be served late; not if others wait behind it on its caller's connection. */
+  /** Whether it may miss its objective; not if other requests are pipelined behind it on its caller's connection. */
   readonly mayEndLate: boolean;
-  /** How many connections to backend servers broke under it before, in this attempt of its caller. */
+  /** Number of connections to backend servers that broke under it before, in this attempt of its caller. */
   readonly brokenConnections: number;
   readonly method: string;
   readonly target: string;
-  /** Headers to pass on, names and values in turn. */
+  /** Headers to forward, as alternating names and values. */
   readonly headers: string[];
   readonly body: Buffer | undefined;
 }
 
-/** Why a request has not run. */
+/** Why a request has not run. Sent between daemons and to callers. */
 export type RefusalReason =
   /** The daemon has no configuration yet. */
   | "no_configuration"
-  /** Nobody is there to run it. */
+  /** No backend server of its service is available. */
   | "no_backend"
   /** The key has no owner at present. */
   | "no_owner"
-  /** The daemon's backend server does not own the key. */
+  /** The daemon's backend server doesn't own the key. */
   | "not_owner"
-  /** The backend server leaves. */
+  /** The backend server drains. */
   | "draining"
-  /** Operators have the backend server's availability zone get no work. */
+  /** Operators have evacuated the backend server's availability zone. */
   | "evacuated"
   /** The daemon stops. */
   | "stopping"
-  /** It can't be done before the deadline. */
+  /** It can't be served before its deadline. */
   | "too_late"
-  /** It can't be done while it is worth doing. */
+  /** There is no capacity to serve it while its response is still useful. */
   | "overloaded"
   | "queue_full"
-  /** The daemon beside the backend server can't be reached. */
+  /** The backend server's daemon is unreachable. */
   | "peer_unreachable"
   | "backend_unreachable"
-  /** The backend server said that it has not run it. */
+  /** The backend server reported that it has not run it. */
   | "not_executed"
-  /** Backend servers ended under it, and it is kept from them for now. */
+  /** It is quarantined because backend servers crashed under it. */
   | "quarantined"
   | "cancelled";
 
-/** Why it is not known whether a request has run. */
+/** Why it is unknown whether a request has run. Sent between daemons and to callers. */
 export type UnknownReason =
   | "deadline"
-  /** The link to the daemon beside the backend server. */
+  /** The link to the backend server's daemon broke. */
   | "connection_lost"
-  /** The backend server's own connection: it has ended, or has broken off its answer. */
+  /** The connection to the backend server broke, perhaps in the middle of a response. */
   | "backend_lost"
   | "foreign_answer"
   | "cancelled";
 
-/** What became of a request at one backend server. */
+/** Outcome of one attempt at a request. */
 export type Outcome =
   | {
     readonly kind: "answer";
     readonly status: number;
-    /** Those that pass on to the caller. */
+    /** Headers to forward to the caller. */
     readonly headers: AnswerHeaders;
     readonly body: Buffer;
-    /** Whether the backend server said where its answer ends. */
+    /** Whether the response's framing marks its end (a length or chunks), not just the end of the connection. */
     readonly isFramed: boolean;
   }
   | {
     readonly kind: "not_run";
     readonly reason: RefusalReason;
-    /** Until there may be room, in milliseconds. */
+    /** Estimated time until there may be capacity, in milliseconds. */
     readonly waitMs: number;
-    /** Whether the request had arrived at the backend server, which then said no. */
+    /** Whether the request reached the backend server, which then rejected it. */
     readonly hasArrived: boolean;
   }
   | { readonly kind: "unknown"; readonly reason: UnknownReason };
 
-/** Makes the outcome of a request that has not run. */
+/** Creates the outcome of a request that has certainly not run. */
 export function notRun(
   reason: RefusalReason,
   options: { waitMs?: number; hasArrived?: boolean } = {},
@@ -100,16 +103,16 @@
   return { kind: "not_run", reason, waitMs, hasArrived };
 }
 
-/** Makes the outcome of a request that may have run. */
+/** Creates the outcome of a request that may have run. */
 export function unknown(reason: UnknownReason): Outcome {
   return { kind: "unknown", reason };
 }
 
-/** Where a request can be sent: the own backend server, or another daemon. */
+/** Destination of a request: the local backend server, or another daemon. */
 export abstract class Destination {
-  /** Makes one attempt. It never throws. */
+  /** Makes one attempt and returns its outcome. It never throws. */
   abstract attempt(
-    work: RoutedRequest,
+    request: RoutedRequest,
     cancellation: Cancellation,
   ): Promise<Outcome>;
 }
--- a/packages/router/src/testing/sample_request.ts
+++ b/packages/router/src/testing/sample_request.ts
@@ -1,5 +1,5 @@
 /**
- * A request between daemons, for tests.
+ * A sample request for tests.
  *
  * @module
  */
