--- a/packages/router/src/acknowledgement_times.ts
+++ b/packages/router/src/acknowledgement_times.ts
@@ -1,37 +1,37 @@
 /**
- * Learns how long daemons take to say that they have a request.
+ * Learns how long daemons take to acknowledge a request, and derives a time limit from it.
  *
  * @module
  */
 
 /**
- * The shortest time after which a daemon counts as frozen or cut off, in milliseconds. A lost packet is
- * sent again after 200 ms, which must not look so.
+ * Minimum time without an acknowledgement after which a daemon counts as unresponsive, in milliseconds. TCP retransmits
+ * a lost packet after 200 ms, which must not count as such.
  */
-const SHORTEST_MS = 260;
-/** A daemon that is short of processor time answers late, and giving up on it would make it worse. */
-const USUAL_FACTOR = 4;
-/** Weight of the latest time. */
-const LEARNING_RATE = 0.1;
+const MIN_TIMEOUT_MS = 260;
+/** Time limit as a multiple of the average. A daemon short of processor time responds late; retries would add load. */
+const TIMEOUT_FACTOR = 4;
+/** Weight of the latest time in the moving average (EWMA). */
+const EWMA_WEIGHT = 0.1;
 
-/** The usual time over all daemons: what slows one down mostly slows the others, or the own one. */
+/** Average acknowledgement time over all daemons: what slows one down mostly slows the others, or this one, too. */
 export class AcknowledgementTimes {
-  private usualMs = 0;
+  private averageMs = 0;
 
   private constructor() {}
 
-  /** Creates one that has seen nothing. */
+  /** Creates one without measurements. */
   static create(): AcknowledgementTimes {
     return new AcknowledgementTimes();
   }
 
-  /** Notes how long one took, in milliseconds. */
-  record(tookMs: number): void {
-    this.usualMs += LEARNING_RATE * (tookMs - this.usualMs);
+  /** Records the time until an acknowledgement, in milliseconds. */
+  record(durationMs: number): void {
+    this.averageMs += EWMA_WEIGHT * (durationMs - this.averageMs);
   }
 
-  /** After how long a daemon counts as frozen or cut off, in milliseconds. */
-  get limitMs(): number {
-    return Math.max(SHORTEST_MS, this.usualMs * USUAL_FACTOR);
+  /** Time without an acknowledgement after which a daemon counts as unresponsive, in milliseconds. */
+  get timeoutMs(): number {
+    return Math.max(MIN_TIMEOUT_MS, this.averageMs * TIMEOUT_FACTOR);
   }
 }
--- a/packages/router/src/cancellation.ts
+++ b/packages/router/src/cancellation.ts
@@ -1,15 +1,15 @@
 /**
- * Tells those who work on a request that its outcome is not wanted any more.
+ * Cancellation of requests in flight.
  *
  * @module
  */
 
-/** Why a request is not wanted any more. */
+/** Why a request is cancelled: its caller has disconnected, or its deadline has passed. */
 export type CancellationReason = "cancelled" | "deadline";
 
 /**
- * Like an `AbortController` with its signal, without events: a request passes through several of them,
- * and controllers and event targets were 4 % of a daemon's samples in a processor profile at load.
+ * An `AbortController` and its signal in one, without events. A request passes through several of them, and with
+ * controllers and event targets these took 4 % of the samples in a processor profile of a daemon under load.
  */
 export class Cancellation {
   private cause: CancellationReason | undefined;
@@ -17,29 +17,29 @@
 
   private constructor() {}
 
-  /** Creates one for a request that is wanted. */
+  /** Creates one that is not cancelled. */
   static create(): Cancellation {
     return new Cancellation();
   }
 
-  /** Creates one that ends by itself. */
+  /** Creates one that is cancelled with `deadline` after a time in milliseconds. */
   static createWithTimeout(milliseconds: number): Cancellation {
     const cancellation = new Cancellation();
     setTimeout(() => cancellation.cancel("deadline"), milliseconds).unref();
     return cancellation;
   }
 
-  /** Whether the outcome is not wanted any more. */
+  /** Whether {@link cancel} was called. */
   get isCancelled(): boolean {
     return this.cause !== undefined;
   }
 
-  /** Why; `undefined` while the outcome is wanted. */
+  /** The reason of the first call of {@link cancel}; `undefined` before. */
   get reason(): CancellationReason | undefined {
     return this.cause;
   }
 
-  /** Says that the outcome is not wanted any more; the first call counts. */
+  /** Cancels the request and calls the listeners; later calls have no effect. */
   cancel(reason: CancellationReason): void {
     if (this.cause !== undefined) {
       return;
@@ -50,12 +50,12 @@
     listeners.forEach((listener) => listener());
   }
 
-  /** Has a listener called once, if it comes to that. */
+  /** Adds a listener for a future cancellation, called at most once. */
   onCancel(listener: () => void): void {
     this.listeners.push(listener);
   }
 
-  /** Forgets a listener. */
+  /** Removes a listener. */
   remove(listener: () => void): void {
     this.listeners = this.listeners.filter((other) => other !== listener);
   }
--- a/packages/router/src/forwarder.ts
+++ b/packages/router/src/forwarder.ts
@@ -146,9 +146,9 @@
 
   /** Finds requests that have not been acknowledged within the learned time limit. */
   private findOverdue(link: LinkClient, nowMs: number): LinkRequest[] {
-    const { limitMs } = this.acknowledgements;
+    const { timeoutMs } = this.acknowledgements;
     return link.findUnacknowledged().filter(({ sentAtMs }) =>
-      nowMs - sentAtMs > limitMs
+      nowMs - sentAtMs > timeoutMs
     );
   }
 
--- a/packages/router/src/http_body.ts
+++ b/packages/router/src/http_body.ts
@@ -1,28 +1,28 @@
 /**
- * Reads whole bodies, and notices callers that have left.
+ * Reads the bodies of HTTP messages, and detects disconnected callers.
  *
  * @module
  */
 import type { IncomingMessage } from "node:http";
 
-/** A body, or why there is none. */
+/** A body, or why it could not be read: it exceeds the limit, or the connection ended before the body. */
 export type BodyResult =
   | { readonly kind: "body"; readonly body: Buffer | undefined }
   | { readonly kind: "too_large" }
   | { readonly kind: "cut" };
 
-/** Reads the body of a message, which may be large; `undefined` where it has none. */
+/** Reads the body of a message into memory, up to a limit in bytes; `undefined` where it has none. */
 export function readBody(
   message: IncomingMessage,
   limit: { bytes: number },
 ): Promise<BodyResult> {
-  const declared = message.headers["content-length"];
-  const hasBody = declared !== undefined ||
+  const declaredLength = message.headers["content-length"];
+  const hasBody = declaredLength !== undefined ||
     message.headers["transfer-encoding"] !== undefined;
   if (!hasBody) {
     return Promise.resolve({ kind: "body", body: undefined });
   }
-  if (Number(declared ?? 0) > limit.bytes) {
+  if (Number(declaredLength ?? 0) > limit.bytes) {
     return Promise.resolve({ kind: "too_large" });
   }
   return new Promise((resolve) => {
@@ -45,7 +45,7 @@
   });
 }
 
-/** Whether the other side has closed its connection, or this side has. */
+/** Whether the connection of a message was closed by either side. */
 export function hasDisconnected(message: IncomingMessage): boolean {
   const { socket } = message;
   return socket.destroyed || socket.readableEnded || socket.writableEnded;
--- a/packages/router/src/http_headers.ts
+++ b/packages/router/src/http_headers.ts
@@ -1,12 +1,12 @@
 /**
- * Headers that pass through, and those that don't.
+ * Selects the HTTP headers that are forwarded.
  *
  * @module
  */
 import type { AnswerHeaders } from "./exchange.ts";
 
-/** Headers that concern one connection only (RFC 9110, section 7.6.1), and the framing of the body. */
-const CONNECTION_HEADERS = new Set([
+/** Hop-by-hop headers (RFC 9110, section 7.6.1), and those that frame the body. */
+const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "content-length",
   "expect",
@@ -20,34 +20,41 @@
   "upgrade",
 ]);
 
-/** Selects the headers of a request that pass through, names and values in turn. */
+/**
+ * Selects the headers of a request that are forwarded, as alternating names and values.
+ *
+ * @param reserved names in lower case of further headers that are not forwarded.
+ */
 export function selectRequestHeaders(
   raw: readonly string[],
   reserved: ReadonlySet<string>,
 ): string[] {
-  const named = namedByConnection(raw);
-  const isKept = (name: string) =>
-    !CONNECTION_HEADERS.has(name) && !reserved.has(name) && !named.has(name);
+  const connectionOptions = findConnectionOptions(raw);
+  const isForwarded = (name: string) =>
+    !HOP_BY_HOP_HEADERS.has(name) && !reserved.has(name) &&
+    !connectionOptions.has(name);
   return raw.filter((_text, index) =>
-    isKept(raw[index - index % 2]!.toLowerCase())
+    isForwarded(raw[index - index % 2]!.toLowerCase())
   );
 }
 
-/** Selects the headers of an answer that pass through. */
-export function selectAnswerHeaders(
+/** Selects the headers of a response that are forwarded. */
+export function selectResponseHeaders(
   headers: AnswerHeaders,
 ): Record<string, string | string[]> {
   const { connection } = headers;
-  const named = connection === undefined ? [] : splitList(String(connection));
+  const connectionOptions = connection === undefined
+    ? []
+    : splitList(String(connection));
   return Object.fromEntries(
     Object.entries(headers).filter(([name, value]) =>
-      value !== undefined && !CONNECTION_HEADERS.has(name) &&
-      !named.includes(name)
+      value !== undefined && !HOP_BY_HOP_HEADERS.has(name) &&
+      !connectionOptions.includes(name)
     ),
   ) as Record<string, string | string[]>;
 }
 
-function namedByConnection(raw: readonly string[]): ReadonlySet<string> {
+function findConnectionOptions(raw: readonly string[]): ReadonlySet<string> {
   return new Set(
     raw.flatMap((text, index) =>
       index % 2 === 0 && text.toLowerCase() === "connection"
--- a/packages/router/src/load_meter.ts
+++ b/packages/router/src/load_meter.ts
@@ -1,54 +1,55 @@
 /**
- * How much work is offered to the backend server, and how much of it fails.
+ * Measures the load offered to the backend server, and the share of requests that fail there.
  *
  * @module
  */
 
-/** The meter forgets half of what it has seen in this time, in milliseconds. */
-const HALF_LIFE_MS = 1_000;
-/** Weight of the latest request in the share of failures. */
-const FAILURE_RATE = 0.1;
-/** Without requests, the share of failures halves in this time, in milliseconds: it gets another try. */
-const FORGIVE_HALF_LIFE_MS = 1_500;
+/** Half-life of the offered load, in milliseconds. */
+const LOAD_HALF_LIFE_MS = 1_000;
+/** Weight of the latest request in the share of failures (EWMA). */
+const FAILURE_EWMA_WEIGHT = 0.1;
+/** Half-life of the share of failures without requests, in milliseconds: a failing server is tried again. */
+const FAILURE_HALF_LIFE_MS = 1_500;
 
-/** Decaying sums and averages. */
+/** Exponentially decaying sums and averages of load and failures. */
 export class LoadMeter {
   private offeredMs = 0;
-  private failures = 0;
+  private failureAverage = 0;
   private decayedAtMs = 0;
 
   private constructor() {}
 
-  /** Creates a meter that has seen nothing. */
+  /** Creates a meter without measurements. */
   static create(): LoadMeter {
     return new LoadMeter();
   }
 
-  /** Notes offered work, in milliseconds of a slot. */
+  /** Adds offered work, in slot milliseconds. */
   recordOffered(workMs: number): void {
     this.offeredMs += workMs;
   }
 
-  /** Notes whether the backend server failed a request. */
+  /** Records whether the backend server failed a request. */
   recordResult(isFailure: boolean): void {
-    this.failures += FAILURE_RATE * ((isFailure ? 1 : 0) - this.failures);
+    this.failureAverage += FAILURE_EWMA_WEIGHT *
+      ((isFailure ? 1 : 0) - this.failureAverage);
   }
 
-  /** Forgets old work. */
+  /** Decays the measurements up to now. */
   decay(nowMs: number): void {
-    const passedMs = nowMs - this.decayedAtMs;
+    const elapsedMs = nowMs - this.decayedAtMs;
     this.decayedAtMs = nowMs;
-    this.offeredMs *= 0.5 ** (passedMs / HALF_LIFE_MS);
-    this.failures *= 0.5 ** (passedMs / FORGIVE_HALF_LIFE_MS);
+    this.offeredMs *= 0.5 ** (elapsedMs / LOAD_HALF_LIFE_MS);
+    this.failureAverage *= 0.5 ** (elapsedMs / FAILURE_HALF_LIFE_MS);
   }
 
-  /** Offered work, in milliseconds of a slot a second. */
+  /** Offered load, in slot milliseconds per second. */
   get offeredPerSecondMs(): number {
-    return this.offeredMs * Math.LN2 / (HALF_LIFE_MS / 1_000);
+    return this.offeredMs * Math.LN2 / (LOAD_HALF_LIFE_MS / 1_000);
   }
 
-  /** Share of recent requests that failed. */
+  /** Share of recent requests that failed, from 0 to 1. */
   get failureShare(): number {
-    return this.failures;
+    return this.failureAverage;
   }
 }
--- a/packages/router/src/local_backend.ts
+++ b/packages/router/src/local_backend.ts
@@ -22,7 +22,7 @@
 import { bootMs, steadyMs } from "./clock.ts";
 import { ConnectionPool } from "./connection_pool.ts";
 import type { Connection, ExchangeResult } from "./exchange.ts";
-import { selectAnswerHeaders } from "./http_headers.ts";
+import { selectResponseHeaders } from "./http_headers.ts";
 import type { LoadReport } from "./link_codec.ts";
 import { LoadMeter } from "./load_meter.ts";
 import type { BackendProtocol } from "./ports/backend_protocol.ts";
@@ -509,7 +509,7 @@
     }
     this.connections.give(connection);
     if (verdict === "answer") {
-      return { ...answer, headers: selectAnswerHeaders(answer.headers) };
+      return { ...answer, headers: selectResponseHeaders(answer.headers) };
     }
     if (verdict === "wrong_instance") {
       this.context.onSuspicion("wrong_instance");
--- a/packages/router/src/loop_lag.ts
+++ b/packages/router/src/loop_lag.ts
@@ -1,88 +1,90 @@
 /**
- * Measures how far the process is behind, for want of processor time.
+ * Measures the event loop's lag, which grows when the process is short of processor time.
  *
  * @module
  */
 import { setImmediate as nextTurn } from "node:timers/promises";
 
-/** Ticks over which the largest lag counts. */
-const REMEMBERED = 4;
-/** From this lag on requests are refused, in milliseconds: about half of a short latency objective. */
-const LIMIT_MS = 120;
+/** Number of recent ticks whose maximum lag counts. */
+const RECENT_TICKS = 4;
+/** Above this lag requests are refused, in milliseconds: about half of a short latency objective. */
+const MAX_LAG_MS = 120;
 /** The same for urgent requests, in milliseconds. */
-const URGENT_LIMIT_MS = 240;
+const URGENT_MAX_LAG_MS = 240;
 /** Requests up to this rank are urgent; 0 is the most urgent. */
-const URGENT_RANK = 1;
-/** From this lag on a request may have been overtaken by its caller's leaving, in milliseconds. */
-const NOTEWORTHY_MS = 40;
+const MAX_URGENT_RANK = 1;
+/** Minimum lag at which a caller may have disconnected before its request is read, in milliseconds. */
+const MIN_RELEVANT_LAG_MS = 40;
 
 /**
  * The lag of the event loop.
  *
- * What goes wrong without it: after a restart on a small processor requests lie unread for a second. Read
- * at last, they look new, and are run for callers that have long left, at the cost of those that have not.
+ * Without it, after a restart on a slow processor requests stay unread for a second. Once read, they look new, and are
+ * run for callers that disconnected long ago, at the expense of those that are still connected.
  */
 export class LoopLag {
-  private lags: number[] = [];
-  private tickedAtMs: number;
-  private largestMs = 0;
+  private recentLags: number[] = [];
+  private lastTickAtMs: number;
+  private maxMs = 0;
 
   private constructor(
     private readonly tickMs: number,
     private readonly now: () => number,
   ) {
-    this.tickedAtMs = now();
+    this.lastTickAtMs = now();
   }
 
   /**
-   * Creates a measure that is fed by a timer.
+   * Creates a lag meter that is driven by a timer.
    *
    * @param tickMs the period of the timer, in milliseconds.
-   * @param now the steady clock.
+   * @param now returns the time on the steady clock, in milliseconds.
    */
   static create(tickMs: number, now: () => number): LoopLag {
     return new LoopLag(tickMs, now);
   }
 
-  /** The timer has fired. */
+  /** Records the lag of a tick. To be called whenever the timer fires. */
   recordTick(): void {
-    const lagMs = this.overdueMs();
-    this.largestMs = Math.max(this.largestMs, lagMs);
-    this.lags = [...this.lags, lagMs].slice(-REMEMBERED);
-    this.tickedAtMs = this.now();
+    const lagMs = this.overdueLagMs();
+    this.maxMs = Math.max(this.maxMs, lagMs);
+    this.recentLags = [...this.recentLags, lagMs].slice(-RECENT_TICKS);
+    this.lastTickAtMs = this.now();
   }
 
-  /** The largest lag since the last call, in milliseconds, for the log. */
+  /** Returns the maximum lag since the last call, in milliseconds, for the log. */
   takeMaxMs(): number {
-    const { largestMs } = this;
-    this.largestMs = 0;
-    return largestMs;
+    const { maxMs } = this;
+    this.maxMs = 0;
+    return maxMs;
   }
 
   /**
-   * For how long what is read now may have waited, in milliseconds. A turn in which much is read goes on
-   * for long before the timer can fire, so the time since it fired last counts, too.
+   * How long input that is read now may have waited, in milliseconds; 0 below the relevant lag. The time since the last
+   * tick counts, too: a long event-loop turn delays the timer.
    */
   get currentMs(): number {
-    const largest = Math.max(this.overdueMs(), ...this.lags);
-    return largest >= NOTEWORTHY_MS ? largest : 0;
+    const maxLagMs = Math.max(this.overdueLagMs(), ...this.recentLags);
+    return maxLagMs >= MIN_RELEVANT_LAG_MS ? maxLagMs : 0;
   }
 
   /**
-   * Whether the process is so far behind that a request of a rank is better refused at once. Without
-   * this, every request is read late, is run for too long, and makes the next one later.
+   * Whether the lag is so high that a request of a rank should be refused at once. Otherwise every request is read late,
+   * is still run, and delays the next one further.
    */
   isOverloaded(rank: number): boolean {
-    const limitMs = rank <= URGENT_RANK ? URGENT_LIMIT_MS : LIMIT_MS;
-    return this.currentMs > limitMs;
+    const maxLagMs = rank <= MAX_URGENT_RANK ? URGENT_MAX_LAG_MS : MAX_LAG_MS;
+    return this.currentMs > maxLagMs;
   }
 
   /**
-   * Gives the process the chance to read that a caller has left, which lies right behind the caller's
-   * request: while the process is behind, and for the first request of a connection. A connection whose
-   * opening packet was lost comes about a second late, with all that its caller has sent meanwhile. The
-   * end of a connection is read in the turn after its last bytes, so it takes the rest of this turn and
-   * all of the next.
+   * Waits until the process has had the chance to read that a caller has disconnected, which may be queued right behind
+   * the caller's request. It waits only under lag, and for the first request of a connection: a connection whose opening
+   * packet was lost arrives about a second late, together with all that its caller has sent meanwhile. The end of a
+   * connection is read in the event-loop turn after its last bytes, so the wait takes the rest of this turn and all of
+   * the next.
+   *
+   * @param request.isFirst whether the request is the first one of its connection.
    */
   async awaitPendingReads(request: { isFirst: boolean }): Promise<void> {
     if (request.isFirst || this.currentMs > 0) {
@@ -91,7 +93,7 @@
     }
   }
 
-  private overdueMs(): number {
-    return Math.max(0, this.now() - this.tickedAtMs - this.tickMs);
+  private overdueLagMs(): number {
+    return Math.max(0, this.now() - this.lastTickAtMs - this.tickMs);
   }
 }
--- a/packages/router/src/ports/caller_protocol.ts
+++ b/packages/router/src/ports/caller_protocol.ts
@@ -1,36 +1,36 @@
 /**
- * How callers say what they want, and are told what became of it.
+ * Port for the protocol between callers and the router: the headers of requests, and the router's own responses.
  *
  * @module
  */
 import type { IncomingHttpHeaders } from "node:http";
 
-/** What a caller says of its request beside method, target and body. */
+/** Request metadata that a caller sends beside method, target and body. */
 export interface CallerRequest {
-  /** Names one attempt of a caller; answers are matched by it. */
+  /** Identifies one attempt of a caller; responses are matched to requests by it. */
   readonly id: string;
-  /** How long the caller waits, in milliseconds. */
+  /** How long the caller waits for the response, in milliseconds; `undefined` if it doesn't state a deadline. */
   readonly deadlineMs: number | undefined;
   /** The key, for services whose keys have owners. */
   readonly key: number | undefined;
 }
 
-/** An answer of the router's own. */
+/** A response written by the router itself. */
 export interface RouterResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
 }
 
-/** What the router itself has to say of a request. */
+/** An outcome that the router itself reports to a caller. */
 export type RouterOutcome =
-  /** It surely has not run and never will. */
+  /** The request has certainly not run, and never will. */
   | {
     readonly kind: "not_run";
     readonly reason: string;
     readonly retryAfterMs: number;
   }
-  /** It may have run. */
+  /** The request may have run. */
   | {
     readonly kind: "unknown";
     readonly reason: string;
@@ -38,29 +38,29 @@
   }
   | RouterRejection;
 
-/** The request can't be served as it is, here or elsewhere, now or later. */
+/** The request can't be served as it is: retries, here or elsewhere, would fail, too. */
 export type RouterRejection =
-  /** No route leads anywhere. */
+  /** No route matches it. */
   | { readonly kind: "no_route" }
-  /** It is larger than allowed. */
+  /** Its body exceeds the limit. */
   | { readonly kind: "too_large" }
-  /** It can't be understood. */
+  /** Its headers can't be parsed. */
   | { readonly kind: "malformed"; readonly reason: string };
 
-/** How callers speak with the router. */
+/** The protocol between callers and the router. */
 export abstract class CallerProtocol {
-  /** Headers, in lower case, that a caller must not pass on to a backend server. */
+  /** Names, in lower case, of headers of callers that are not forwarded to backend servers. */
   abstract readonly reservedHeaders: ReadonlySet<string>;
 
-  /** Reads what a caller says; `undefined` if it can't be understood. */
+  /** Parses the metadata in a request's headers; `undefined` if they are malformed. */
   abstract read(headers: IncomingHttpHeaders): CallerRequest | undefined;
 
-  /** Writes an answer of the router's own. */
+  /** Creates the response for an outcome that the router itself reports. */
   abstract write(
     outcome: RouterOutcome,
     requestId: string | undefined,
   ): RouterResponse;
 
-  /** Whether a request to the readiness address asks for readiness. */
+  /** Whether a request to the readiness address is a readiness check. */
   abstract isReadinessCheck(method: string, target: string): boolean;
 }
