--- a/packages/router/src/backend_keeper.ts
+++ b/packages/router/src/backend_manager.ts
@@ -43,7 +43,7 @@
 const DRAIN_SHARE = 0.75;
 
 /** What operators say of the own availability zone. */
-export interface EvacuationStanding {
+export interface EvacuationState {
   /** Whether the backend server here is to get nothing. */
   readonly isEvacuated: boolean;
   /** Until when keys are handed over and waiting requests run, on the steady clock. */
@@ -53,24 +53,24 @@
 }
 
 /** What the keeper needs. */
-export interface BackendKeeperContext {
+export interface BackendManagerContext {
   readonly logger: Logger;
   readonly backend: LocalBackend;
   readonly grants: GrantBook;
-  readonly tenure: Tenure;
+  readonly lease: Tenure;
   /** What operators say of the own availability zone. */
-  readonly evacuation: EvacuationStanding;
+  readonly evacuation: EvacuationState;
   /** From the word that the backend server leaves until it may get nothing more, in milliseconds. */
   readonly drainMs: () => number;
   /** Asks at the address of a backend server of a service who is there. */
   readonly probe: (service: string) => Promise<Presence>;
   readonly isKeyed: (service: string) => boolean;
   /** Whether the configuration in force names a service; `undefined` while none is in force. */
-  readonly isNamed: (service: string) => boolean | undefined;
+  readonly isConfigured: (service: string) => boolean | undefined;
   /** Most requests in one second that a cold backend server of a service may get; 0 where that is not known. */
   readonly coldLimit: (service: string) => number;
   /** Usual pause between two heartbeats, in milliseconds. */
-  readonly heartbeatMs: () => number;
+  readonly heartbeatIntervalMs: () => number;
   /** Whether keys may be granted: the daemon has seen who owns what. */
   readonly mayGrant: (service: string) => boolean;
   /** Called when the phase or the incarnation has changed. */
@@ -83,29 +83,29 @@
    * Called when the backend server has said that it leaves, before it is answered; returns whether its keys can
    * be given to others now.
    */
-  readonly beforeLeaving: () => Promise<boolean>;
+  readonly beforeDrain: () => Promise<boolean>;
   /** Called when the process of an incarnation has ended. */
-  readonly onEnded: (end: BackendEnd) => void;
+  readonly onProcessEnded: (end: BackendProcessEnd) => void;
   /** Called before a grant is decided; it may hold the answer back for a handover. */
   readonly beforeGrant: () => Promise<void>;
 }
 
 /** The end of a backend server's process. */
-export interface BackendEnd {
+export interface BackendProcessEnd {
   readonly instance: string | undefined;
   /** Nobody listens at its address, or another incarnation has taken its place. */
   readonly proof: "refused" | "replaced";
 }
 
 /** How a heartbeat is answered. */
-export type HeartbeatAnswer =
+export type HeartbeatResponse =
   /** Without a grant nothing is renewed. */
   | { readonly kind: "acknowledged"; readonly grant: Grant | undefined }
   /** As if it had not arrived: the backend server says the same again. */
   | { readonly kind: "unacknowledged" };
 
 /** The state of the backend server on this host. */
-export class BackendKeeper {
+export class BackendManager {
   private readonly instances = InstanceBook.create();
   private last: BackendHeartbeat | undefined;
   private current: MemberPhase = "absent";
@@ -115,11 +115,11 @@
   /** Whether somebody is asking at the address already: all that ran there is lost together. */
   private isAsking = false;
 
-  private constructor(private readonly context: BackendKeeperContext) {}
+  private constructor(private readonly context: BackendManagerContext) {}
 
   /** Creates a keeper that knows of no backend server. */
-  static create(context: BackendKeeperContext): BackendKeeper {
-    return new BackendKeeper(context);
+  static create(context: BackendManagerContext): BackendManager {
+    return new BackendManager(context);
   }
 
   /** Whether the backend server takes work. */
@@ -138,7 +138,7 @@
   }
 
   /** For how long the backend server has said nothing, in milliseconds. */
-  silentMs(): number {
+  sinceLastHeartbeatMs(): number {
     return bootMs() - this.instances.lastHeardMs;
   }
 
@@ -152,7 +152,7 @@
   }
 
   /** The own availability zone was evacuated or taken back. */
-  noteEvacuation(): void {
+  onEvacuationChanged(): void {
     if (this.current === "ready" || this.current === "evacuated") {
       this.setPhase(this.openPhase, "evacuation");
     }
@@ -164,13 +164,15 @@
   }
 
   /** Takes a heartbeat; returns how it is to be answered. */
-  async takeHeartbeat(heartbeat: BackendHeartbeat): Promise<HeartbeatAnswer> {
+  async handleHeartbeat(
+    heartbeat: BackendHeartbeat,
+  ): Promise<HeartbeatResponse> {
     const { instance, service } = heartbeat;
     if (!await this.context.evacuation.awaitSettled()) {
       // A daemon that has just started must not take work for a server that has been evacuated.
       return { kind: "unacknowledged" };
     }
-    if (this.context.isNamed(service) === false) {
+    if (this.context.isConfigured(service) === false) {
       this.context.logger.log("heartbeat_of_unknown_service", {
         instance,
         service,
@@ -179,7 +181,7 @@
       return { kind: "unacknowledged" };
     }
     const isHeldBack = this.isHeldBack(heartbeat) &&
-      !await this.context.beforeLeaving() &&
+      !await this.context.beforeDrain() &&
       this.context.grants.heldForMs(bootMs()) > LEAST_HOLD_MS;
     if (isHeldBack) {
       this.context.logger.log("leaving_not_acknowledged", {
@@ -189,7 +191,7 @@
       return { kind: "unacknowledged" };
     }
     if (this.hasKeysToEvacuate(heartbeat)) {
-      await this.context.beforeLeaving();
+      await this.context.beforeDrain();
     }
     return { kind: "acknowledged", grant: await this.takeGrant(heartbeat) };
   }
@@ -229,7 +231,7 @@
         born: heartbeat.born,
         believed: this.instances.current?.instance,
         believed_born: this.instances.current?.born,
-        silent_ms: Math.round(this.silentMs()),
+        silent_ms: Math.round(this.sinceLastHeartbeatMs()),
       });
       return undefined;
     }
@@ -237,14 +239,14 @@
   }
 
   /** Takes the word of a backend server that it leaves. */
-  takeDeparture(departure: BackendDeparture): void {
+  handleDeparture(departure: BackendDeparture): void {
     if (this.isOfCurrent(departure)) {
       this.setPhase("draining", "departure");
     }
   }
 
   /** Requests contradict what is believed. */
-  async suspect(suspicion: BackendSuspicion): Promise<void> {
+  async handleSuspicion(suspicion: BackendSuspicion): Promise<void> {
     if (this.current === "absent") {
       return;
     }
@@ -270,7 +272,7 @@
       this.context.grants.noteEnded();
       this.setPhase("absent", suspicion);
       const { instance } = this.last ?? {};
-      this.context.onEnded({ instance, proof: "refused" });
+      this.context.onProcessEnded({ instance, proof: "refused" });
     }
   }
 
@@ -290,18 +292,18 @@
     heartbeat: BackendHeartbeat,
     succession: Succession | undefined,
   ): Promise<Grant | undefined> {
-    const { grants, tenure, backend, isKeyed } = this.context;
+    const { grants, lease, backend, isKeyed } = this.context;
     const nowMs = bootMs();
     if (succession === undefined) {
       this.instances.accept(heartbeat, nowMs);
     } else {
       const { instance } = this.last ?? {};
-      this.context.onEnded({ instance, proof: "replaced" });
+      this.context.onProcessEnded({ instance, proof: "replaced" });
       this.instances.succeed(heartbeat, { succession, nowMs });
     }
     if (this.last !== undefined && this.last.service !== heartbeat.service) {
       grants.forgetKeys();
-      tenure.forget();
+      lease.forget();
     }
     this.last = heartbeat;
     this.noteCold(heartbeat);
@@ -337,7 +339,7 @@
     const answeredMs = bootMs();
     // The hold counts from when the heartbeat was sent, which was before it arrived.
     const spentMs = answeredMs - nowMs;
-    const longestHoldMs = tenure.longestHoldMs(nowMs);
+    const longestHoldMs = lease.longestHoldMs(nowMs);
     const grant = grants.answer({ longestHoldMs, nowMs: answeredMs, spentMs });
     backend.noteGranted();
     return grant.holdMs > 0 ? grant : undefined;
@@ -401,7 +403,7 @@
     }
     return this.instances.judgeSuccession(heartbeat, found, {
       arrivedMs,
-      overdueMs: this.context.heartbeatMs() * OVERDUE_SHARE,
+      overdueMs: this.context.heartbeatIntervalMs() * OVERDUE_SHARE,
       silentMs: SILENT_MS,
     });
   }
--- a/packages/router/src/backend_keeper_test.ts
+++ b/packages/router/src/backend_manager_test.ts
@@ -12,10 +12,10 @@
 } from "@bamboolink/keyspace";
 import { Logger } from "@bamboolink/logger";
 import {
-  BackendKeeper,
-  type EvacuationStanding,
-  type HeartbeatAnswer,
-} from "./backend_keeper.ts";
+  BackendManager,
+  type EvacuationState,
+  type HeartbeatResponse,
+} from "./backend_manager.ts";
 import { bootMs } from "./clock.ts";
 import { LocalBackend } from "./local_backend.ts";
 import type {
@@ -28,7 +28,7 @@
 const KEYS = { from: 0, to: 99 };
 
 function createEvacuation(): {
-  -readonly [Name in keyof EvacuationStanding]: EvacuationStanding[Name];
+  -readonly [Name in keyof EvacuationState]: EvacuationState[Name];
 } {
   return {
     isEvacuated: false,
@@ -39,21 +39,21 @@
 
 function createKeeper(
   grants: GrantBook,
-  tenure: Tenure,
+  lease: Tenure,
   options: {
-    beforeLeaving?: () => boolean;
+    beforeDrain?: () => boolean;
     probe?: () => Promise<Presence>;
     heartbeatMs?: number;
-    evacuation?: EvacuationStanding;
+    evacuation?: EvacuationState;
   } = {},
-): BackendKeeper {
-  const giveUpAll = () => {
+): BackendManager {
+  const releaseAll = () => {
     grants.beginRelease(grants.ownRanges);
     return true;
   };
   const logger = Logger.createBounded("test", { level: "error" });
   const protocol = {} as BackendProtocol;
-  return BackendKeeper.create({
+  return BackendManager.create({
     logger,
     backend: LocalBackend.create({
       address: ADDRESS,
@@ -71,37 +71,36 @@
       onSuspicion: () => undefined,
     }),
     grants,
-    tenure,
+    lease,
     evacuation: options.evacuation ?? createEvacuation(),
     drainMs: () => 2_000,
     isKeyed: () => true,
-    isNamed: (service) => service === "rooms",
+    isConfigured: (service) => service === "rooms",
     coldLimit: () => 0,
-    heartbeatMs: () => options.heartbeatMs ?? 1_000,
+    heartbeatIntervalMs: () => options.heartbeatMs ?? 1_000,
     probe: options.probe ?? (() => Promise.resolve({ kind: "silent" })),
     mayGrant: () => true,
     onChange: () => undefined,
     onFreed: () => undefined,
-    beforeLeaving: () =>
-      Promise.resolve((options.beforeLeaving ?? giveUpAll)()),
-    onEnded: () => undefined,
+    beforeDrain: () => Promise.resolve((options.beforeDrain ?? releaseAll)()),
+    onProcessEnded: () => undefined,
     beforeGrant: () => Promise.resolve(),
   });
 }
 
 /** A daemon that owns some keys by the record and may grant them. */
-function createOwner(): { grants: GrantBook; tenure: Tenure } {
+function createOwner(): { grants: GrantBook; lease: Tenure } {
   const grants = GrantBook.create(bootMs() - 60_000);
-  const tenure = Tenure.create();
-  tenure.confirm(bootMs(), { arbiters: [], revision: 1 });
+  const lease = Tenure.create();
+  lease.confirm(bootMs(), { arbiters: [], revision: 1 });
   const record = OwnershipRecord.create()
     .assign([{ ...KEYS, daemon: "own", handover: "" }])
     .withRevision(7);
   grants.noteOwnership(record, { daemon: "own", revision: 7 });
-  return { grants, tenure };
+  return { grants, lease };
 }
 
-function rangesIn(answer: HeartbeatAnswer) {
+function rangesIn(answer: HeartbeatResponse) {
   return answer.kind === "acknowledged" ? answer.grant?.ranges : undefined;
 }
 
@@ -124,12 +123,12 @@
     // Sequence: it says that it leaves; it is answered with its keys; a heartbeat later, without them.
     // Cause: its keys were given up a tick after the answer that could have said so.
     it("is not granted them any more in the answer that acknowledges it", async () => {
-      const { grants, tenure } = createOwner();
-      const keeper = createKeeper(grants, tenure);
-      const granted = await keeper.takeHeartbeat(heartbeat);
+      const { grants, lease } = createOwner();
+      const keeper = createKeeper(grants, lease);
+      const granted = await keeper.handleHeartbeat(heartbeat);
       expect(rangesIn(granted)).to.have.length(1);
       const leaving = { ...heartbeat, sequence: 2, isDraining: true };
-      const answered = await keeper.takeHeartbeat(leaving);
+      const answered = await keeper.handleHeartbeat(leaving);
       expect(rangesIn(answered)).to.deep.equal([]);
     });
 
@@ -138,13 +137,13 @@
     // then on they get no requests, and nobody else can be given their keys.
     // Cause: a leaving was acknowledged although it could not be followed.
     it("is not told so while its keys can't be given to others, and serves on", async () => {
-      const { grants, tenure } = createOwner();
-      const keeper = createKeeper(grants, tenure, {
-        beforeLeaving: () => false,
+      const { grants, lease } = createOwner();
+      const keeper = createKeeper(grants, lease, {
+        beforeDrain: () => false,
       });
-      await keeper.takeHeartbeat(heartbeat);
+      await keeper.handleHeartbeat(heartbeat);
       const leaving = { ...heartbeat, sequence: 2, isDraining: true };
-      const answered = await keeper.takeHeartbeat(leaving);
+      const answered = await keeper.handleHeartbeat(leaving);
       expect(answered.kind).to.equal("unacknowledged");
       expect(keeper.phase).to.equal("ready");
       expect(grants.isOwn(KEYS.from)).to.equal(true);
@@ -153,45 +152,45 @@
 
   describe("when operators evacuate the availability zone", () => {
     it("gives the keys away with the next answer, and takes work again once the zone is taken back", async () => {
-      const { grants, tenure } = createOwner();
+      const { grants, lease } = createOwner();
       const evacuation = createEvacuation();
-      const keeper = createKeeper(grants, tenure, { evacuation });
-      await keeper.takeHeartbeat(heartbeat);
+      const keeper = createKeeper(grants, lease, { evacuation });
+      await keeper.handleHeartbeat(heartbeat);
       evacuation.isEvacuated = true;
-      keeper.noteEvacuation();
+      keeper.onEvacuationChanged();
       expect(keeper.phase).to.equal("evacuated");
-      const answered = await keeper.takeHeartbeat({
+      const answered = await keeper.handleHeartbeat({
         ...heartbeat,
         sequence: 2,
       });
       expect(rangesIn(answered)).to.deep.equal([]);
       expect(keeper.phase).to.equal("evacuated");
       evacuation.isEvacuated = false;
-      keeper.noteEvacuation();
+      keeper.onEvacuationChanged();
       expect(keeper.phase).to.equal("ready");
     });
 
     // Guards against a backend server that leaves an evacuated zone being given work again when the zone is taken back.
     it("leaves a backend server that drains as it is", async () => {
-      const { grants, tenure } = createOwner();
+      const { grants, lease } = createOwner();
       const evacuation = createEvacuation();
-      const keeper = createKeeper(grants, tenure, { evacuation });
-      await keeper.takeHeartbeat({ ...heartbeat, isDraining: true });
+      const keeper = createKeeper(grants, lease, { evacuation });
+      await keeper.handleHeartbeat({ ...heartbeat, isDraining: true });
       evacuation.isEvacuated = true;
-      keeper.noteEvacuation();
+      keeper.onEvacuationChanged();
       expect(keeper.phase).to.equal("draining");
       evacuation.isEvacuated = false;
-      keeper.noteEvacuation();
+      keeper.onEvacuationChanged();
       expect(keeper.phase).to.equal("draining");
     });
 
     // Guards against a daemon that starts again giving work to an evacuated server.
     it("acknowledges nothing until it is known what is evacuated", async () => {
-      const { grants, tenure } = createOwner();
+      const { grants, lease } = createOwner();
       const evacuation = createEvacuation();
       evacuation.awaitSettled = () => Promise.resolve(false);
-      const keeper = createKeeper(grants, tenure, { evacuation });
-      const answered = await keeper.takeHeartbeat(heartbeat);
+      const keeper = createKeeper(grants, lease, { evacuation });
+      const answered = await keeper.handleHeartbeat(heartbeat);
       expect(answered.kind).to.equal("unacknowledged");
       expect(keeper.phase).to.equal("absent");
     });
@@ -202,9 +201,9 @@
     const next = { ...heartbeat, born: 2_000, sequence: 1 };
 
     function createServed(presence: { born: number | undefined }) {
-      const { grants, tenure } = createOwner();
+      const { grants, lease } = createOwner();
       const found = { kind: "answered" as const, instance: "i-1", ...presence };
-      const keeper = createKeeper(grants, tenure, {
+      const keeper = createKeeper(grants, lease, {
         probe: () => Promise.resolve(found),
       });
       return { grants, keeper };
@@ -215,8 +214,8 @@
     // Cause: its heartbeats were taken for late ones of the former process.
     it("grants its keys to the new process with a higher token", async () => {
       const { keeper } = createServed({ born: 2_000 });
-      const [before] = rangesIn(await keeper.takeHeartbeat(former))!;
-      const [after] = rangesIn(await keeper.takeHeartbeat(next))!;
+      const [before] = rangesIn(await keeper.handleHeartbeat(former))!;
+      const [after] = rangesIn(await keeper.handleHeartbeat(next))!;
       expect(after!.token).to.be.above(before!.token);
     });
 
@@ -225,11 +224,11 @@
     // Cause: an incarnation that has ended was not remembered.
     it("drops what the former process had sent", async () => {
       const { keeper } = createServed({ born: 2_000 });
-      await keeper.takeHeartbeat(former);
-      await keeper.takeHeartbeat(next);
-      const held = await keeper.takeHeartbeat({ ...former, sequence: 41 });
+      await keeper.handleHeartbeat(former);
+      await keeper.handleHeartbeat(next);
+      const held = await keeper.handleHeartbeat({ ...former, sequence: 41 });
       expect(rangesIn(held)).to.equal(undefined);
-      const following = await keeper.takeHeartbeat({ ...next, sequence: 2 });
+      const following = await keeper.handleHeartbeat({ ...next, sequence: 2 });
       expect(rangesIn(following)).to.have.length(1);
     });
 
@@ -238,8 +237,8 @@
     // are written to another owner before it has run out.
     // Cause: an answer that can't tell two processes apart was taken for the end of one.
     it("counts the former process's grant until it has run out where the answer proves nothing", async () => {
-      const { grants, tenure } = createOwner();
-      const keeper = createKeeper(grants, tenure, {
+      const { grants, lease } = createOwner();
+      const keeper = createKeeper(grants, lease, {
         heartbeatMs: 0,
         probe: () =>
           Promise.resolve({
@@ -248,9 +247,9 @@
             born: undefined,
           }),
       });
-      await keeper.takeHeartbeat(former);
+      await keeper.handleHeartbeat(former);
       await new Promise((resolve) => setTimeout(resolve, 2));
-      await keeper.takeHeartbeat(next);
+      await keeper.handleHeartbeat(next);
       grants.beginRelease([KEYS]);
       expect(grants.findReleased(bootMs())).to.deep.equal([]);
       expect(grants.findReleased(bootMs() + 6_000)).to.deep.equal([KEYS]);
@@ -258,9 +257,13 @@
 
     it("takes the departure of the former process for nothing", async () => {
       const { keeper } = createServed({ born: 2_000 });
-      await keeper.takeHeartbeat(former);
-      await keeper.takeHeartbeat(next);
-      keeper.takeDeparture({ kind: "departure", instance: "i-1", born: 1_000 });
+      await keeper.handleHeartbeat(former);
+      await keeper.handleHeartbeat(next);
+      keeper.handleDeparture({
+        kind: "departure",
+        instance: "i-1",
+        born: 1_000,
+      });
       expect(keeper.phase).to.equal("ready");
     });
   });
@@ -270,10 +273,10 @@
     // Sequence: another writer sends a well-formed heartbeat of a service that does not exist.
     // Cause: the service of the last heartbeat was taken for the server's, whatever it was.
     it("changes nothing and is not acknowledged", async () => {
-      const { grants, tenure } = createOwner();
-      const keeper = createKeeper(grants, tenure);
-      await keeper.takeHeartbeat(heartbeat);
-      const answer = await keeper.takeHeartbeat({
+      const { grants, lease } = createOwner();
+      const keeper = createKeeper(grants, lease);
+      await keeper.handleHeartbeat(heartbeat);
+      const answer = await keeper.handleHeartbeat({
         ...heartbeat,
         service: "elsewhere",
         sequence: 2,
--- a/packages/router/src/handover_desk.ts
+++ b/packages/router/src/handover_coordinator.ts
@@ -27,7 +27,7 @@
 }
 
 /** What both ends of handovers wait for, at one daemon. */
-export class HandoverDesk {
+export class HandoverCoordinator {
   private readonly expectations = new Map<string, Expectation>();
   private readonly awaiting = new Set<string>();
   private readonly waits = new Set<() => void>();
@@ -36,12 +36,12 @@
   private constructor() {}
 
   /** Creates a desk without handovers. */
-  static create(): HandoverDesk {
-    return new HandoverDesk();
+  static create(): HandoverCoordinator {
+    return new HandoverCoordinator();
   }
 
   /** Another daemon says that keys are about to come from it. */
-  noteExpected(
+  expectRanges(
     sender: string,
     ranges: readonly ExpectedRange[],
     nowMs: number,
@@ -50,13 +50,13 @@
   }
 
   /** Another daemon says that it holds back an answer for keys to come. */
-  noteAwaiting(sender: string): void {
+  markAwaiting(sender: string): void {
     this.awaiting.add(sender);
     this.wake();
   }
 
   /** The own keys have become more; returns which of those that were expected are among them. */
-  noteArrived(isOwn: (key: number) => boolean): ExpectedRange[] {
+  takeArrived(isOwn: (key: number) => boolean): ExpectedRange[] {
     const arrived = [...this.expectations].filter(([, { ranges }]) =>
       ranges.some(({ from }) => isOwn(from))
     );
@@ -68,7 +68,7 @@
   }
 
   /** Daemons from which keys are expected. */
-  expectedFrom(nowMs: number): string[] {
+  expectedSenders(nowMs: number): string[] {
     return [...this.expectations]
       .filter(([, { untilMs }]) => nowMs < untilMs)
       .map(([sender]) => sender);
@@ -78,12 +78,12 @@
   awaitKeys(now: () => number): Promise<void> {
     const { arrivals } = this;
     return this.waitUntil(() =>
-      this.arrivals > arrivals || this.expectedFrom(now()).length === 0
+      this.arrivals > arrivals || this.expectedSenders(now()).length === 0
     );
   }
 
   /** Holds back an answer until all daemons that are to take keys hold back one, too. */
-  async awaitTakers(daemons: readonly string[]): Promise<void> {
+  async awaitRecipients(daemons: readonly string[]): Promise<void> {
     await this.waitUntil(() =>
       daemons.every((daemon) => this.awaiting.has(daemon))
     );
--- a/packages/router/src/heartbeat_server.ts
+++ b/packages/router/src/heartbeat_server.ts
@@ -10,10 +10,10 @@
   type ServerResponse,
 } from "node:http";
 import type { Logger } from "@bamboolink/logger";
-import type { BackendKeeper, HeartbeatAnswer } from "./backend_keeper.ts";
+import type { BackendManager, HeartbeatResponse } from "./backend_manager.ts";
 import { readBody } from "./http_body.ts";
 import type {
-  BackendNotice,
+  BackendNotification,
   BackendProtocol,
 } from "./ports/backend_protocol.ts";
 
@@ -23,18 +23,18 @@
 
 /** Creates the server for heartbeats; it does not listen yet. */
 export function createHeartbeatServer(context: {
-  keeper: BackendKeeper;
+  backendManager: BackendManager;
   protocol: BackendProtocol;
   logger: Logger;
 }): Server {
-  const { keeper, protocol, logger } = context;
+  const { backendManager, protocol, logger } = context;
   const serve = async (incoming: IncomingMessage, response: ServerResponse) => {
     const read = await readBody(incoming, { bytes: MAXIMUM_BODY_BYTES });
     if (read.kind !== "body") {
       response.destroy();
       return;
     }
-    const notice = protocol.readNotice(
+    const notice = protocol.parseNotification(
       incoming.method ?? "",
       incoming.url ?? "",
       read.body?.toString() ?? "",
@@ -44,12 +44,12 @@
       response.writeHead(400, { "content-length": "0" }).end();
       return;
     }
-    const answer = await takeNotice(keeper, notice.value);
+    const answer = await takeNotice(backendManager, notice.value);
     if (answer.kind === "unacknowledged") {
       response.writeHead(503, { "content-length": "0" }).end();
       return;
     }
-    const text = protocol.writeAcknowledgement(answer.grant);
+    const text = protocol.encodeAcknowledgement(answer.grant);
     response.writeHead(200, {
       "content-type": "application/json",
       "content-length": Buffer.byteLength(text),
@@ -68,12 +68,12 @@
 }
 
 async function takeNotice(
-  keeper: BackendKeeper,
-  notice: BackendNotice,
-): Promise<HeartbeatAnswer> {
+  keeper: BackendManager,
+  notice: BackendNotification,
+): Promise<HeartbeatResponse> {
   if (notice.kind === "heartbeat") {
-    return await keeper.takeHeartbeat(notice);
+    return await keeper.handleHeartbeat(notice);
   }
-  keeper.takeDeparture(notice);
+  keeper.handleDeparture(notice);
   return { kind: "acknowledged", grant: undefined };
 }
--- a/packages/router/src/key_shedder.ts
+++ b/packages/router/src/key_rebalancer.ts
@@ -10,43 +10,46 @@
 } from "@bamboolink/keyspace";
 import type { Logger } from "@bamboolink/logger";
 import type { MemberReport, MemberView } from "@bamboolink/membership";
-import type { BackendKeeper } from "./backend_keeper.ts";
+import type { BackendManager } from "./backend_manager.ts";
 import { steadyMs } from "./clock.ts";
-import type { HandoverDesk } from "./handover_desk.ts";
+import type { HandoverCoordinator } from "./handover_coordinator.ts";
 import type { LocalBackend } from "./local_backend.ts";
 import type { OwnershipDirectory } from "./ownership_directory.ts";
-import type { TenureKeeper } from "./tenure_keeper.ts";
+import type { OwnershipLeaseManager } from "./ownership_lease_manager.ts";
 
 /** Time between two looks for keys to shed, in milliseconds. */
 const SHED_MS = 250;
 
 /** What the shedder needs. */
-export interface KeyShedderContext {
+export interface KeyRebalancerContext {
   readonly logger: Logger;
   readonly view: MemberView;
   readonly directory: OwnershipDirectory;
   readonly grants: GrantBook;
   readonly backend: LocalBackend;
-  readonly keeper: () => BackendKeeper;
-  readonly desk: HandoverDesk;
-  readonly tenures: TenureKeeper;
+  readonly backendManager: () => BackendManager;
+  readonly handoverCoordinator: HandoverCoordinator;
+  readonly leaseManager: OwnershipLeaseManager;
   /** The service of which the backend server here owns keys, if it is of such a service. */
   readonly ownService: () => string | undefined;
   /** Tells a daemon that keys are about to come to it. */
-  readonly onPlanned: (daemon: string, moves: readonly PlannedMove[]) => void;
+  readonly onMovesPlanned: (
+    daemon: string,
+    moves: readonly PlannedMove[],
+  ) => void;
 }
 
 /** Plans moves of keys, and begins them. */
-export class KeyShedder {
+export class KeyRebalancer {
   private planned: readonly PlannedMove[] = [];
   private begun: readonly PlannedMove[] = [];
   private shedAtMs = -Infinity;
 
-  private constructor(private readonly context: KeyShedderContext) {}
+  private constructor(private readonly context: KeyRebalancerContext) {}
 
   /** Creates a shedder without plans. */
-  static create(context: KeyShedderContext): KeyShedder {
-    return new KeyShedder(context);
+  static create(context: KeyRebalancerContext): KeyRebalancer {
+    return new KeyRebalancer(context);
   }
 
   /** Where the keys go that were given up last. */
@@ -56,7 +59,8 @@
 
   /** Moves the keys with the most work away while the own backend server is hotter than others. */
   tick(): void {
-    const { grants, backend, view, keeper, logger, tenures } = this.context;
+    const { grants, backend, view, backendManager, logger, leaseManager } =
+      this.context;
     const service = this.context.ownService();
     const nowMs = steadyMs();
     if (service === undefined || nowMs - this.shedAtMs < SHED_MS) {
@@ -64,7 +68,10 @@
     }
     this.shedAtMs = nowMs;
     const isMoving = grants.isReleasing || this.planned.length > 0;
-    if (keeper().phase !== "ready" || isMoving || !tenures.isMovable()) {
+    if (
+      backendManager().phase !== "ready" || isMoving ||
+      !leaseManager.isMovable()
+    ) {
       return;
     }
     const others = view.alive(nowMs)
@@ -76,7 +83,7 @@
       daemon: view.ownReport.address,
       utilization: this.utilization,
       deviation: this.deviation,
-      slots: keeper().slots,
+      slots: backendManager().slots,
       serviceMs: backend.serviceMs,
     };
     const record = this.context.directory.record(service);
@@ -100,7 +107,7 @@
     });
     const takers = new Set(this.planned.map(({ daemon }) => daemon));
     takers.forEach((taker) =>
-      this.context.onPlanned(
+      this.context.onMovesPlanned(
         taker,
         this.planned.filter(({ daemon }) => daemon === taker),
       )
@@ -112,16 +119,18 @@
    * does not shed once more for them.
    */
   get utilization(): number {
-    const { backend, keeper } = this.context;
-    return this.context.ownService() === undefined || keeper().slots === 0
+    const { backend, backendManager } = this.context;
+    return this.context.ownService() === undefined ||
+        backendManager().slots === 0
       ? backend.utilization
-      : this.load / keeper().slots;
+      : this.load / backendManager().slots;
   }
 
   /** How far that may be off by chance: one standard deviation. */
   private get deviation(): number {
-    const { backend, keeper } = this.context;
-    return backend.profile.deviationOf(this.load) / Math.max(1, keeper().slots);
+    const { backend, backendManager } = this.context;
+    return backend.profile.deviationOf(this.load) /
+      Math.max(1, backendManager().slots);
   }
 
   /** Work that the own keys bring, in slots. */
@@ -142,11 +151,12 @@
   async beginMoves(): Promise<void> {
     const { planned } = this;
     const takers = [...new Set(planned.map(({ daemon }) => daemon))];
-    await this.context.desk.awaitTakers(takers);
+    await this.context.handoverCoordinator.awaitRecipients(takers);
     this.planned = [];
     const service = this.context.ownService();
     if (
-      service !== undefined && await this.context.tenures.reachesStore(service)
+      service !== undefined &&
+      await this.context.leaseManager.reachesStore(service)
     ) {
       this.begun = planned;
       this.context.grants.beginRelease(planned);
--- a/packages/router/src/local_backend.ts
+++ b/packages/router/src/local_backend.ts
@@ -447,7 +447,7 @@
 
   private describe(work: Work, nowMs: number) {
     const details = this.context.protocol.requestHeaders({
-      deadlineLeftMs: Math.max(1, Math.floor(work.deadlineAtMs - nowMs)),
+      remainingMs: Math.max(1, Math.floor(work.deadlineAtMs - nowMs)),
       instance: this.identity?.instance ?? "",
       callerService: work.callerService,
     });
@@ -482,7 +482,7 @@
     },
   ): Outcome {
     const { answer, connection } = end;
-    const verdict = this.context.protocol.judge(answer, work.id);
+    const verdict = this.context.protocol.classifyResponse(answer, work.id);
     if (verdict === "foreign") {
       // The right answer may still follow on this connection, where nobody may take it for another's.
       this.connections.discard(connection);
--- a/packages/router/src/local_backend_test.ts
+++ b/packages/router/src/local_backend_test.ts
@@ -73,7 +73,7 @@
     address: `127.0.0.1:${port}`,
     protocol: {
       requestHeaders: () => [],
-      judge: () => "answer",
+      classifyResponse: () => "answer",
     } as unknown as BackendProtocol,
     logger,
     grants: GrantBook.create(bootMs()),
--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -13,12 +13,12 @@
   type OwnOutcome,
 } from "./ports/caller_protocol.ts";
 export {
-  type AnswerVerdict,
   type BackendDeparture,
   type BackendHeartbeat,
-  type BackendNotice,
+  type BackendNotification,
   BackendProtocol,
-  type HandoverDetails,
+  type DispatchDetails,
+  type ResponseVerdict,
 } from "./ports/backend_protocol.ts";
 export { ConfigurationDocument } from "./ports/configuration_document.ts";
 export type { Incarnation } from "@bamboolink/keyspace";
--- a/packages/router/src/ownership_directory.ts
+++ b/packages/router/src/ownership_directory.ts
@@ -66,7 +66,7 @@
   }
 
   /** All records, for a daemon that has missed some. */
-  get all(): { service: string; revision: number; text: string }[] {
+  get encodedRecords(): { service: string; revision: number; text: string }[] {
     return [...this.records].map(([service, record]) => ({
       service,
       revision: record.revision,
@@ -75,13 +75,15 @@
   }
 
   /** Takes over a record that another daemon knows. */
-  noteText(news: { service: string; revision: number; text: string }): void {
+  updateFromPeer(
+    news: { service: string; revision: number; text: string },
+  ): void {
     const { service, revision, text } = news;
-    this.noteStored(OWNERSHIP_PREFIX + service, { value: text, revision });
+    this.updateFromStore(OWNERSHIP_PREFIX + service, { value: text, revision });
   }
 
   /** Takes over a record, if it is newer than what is known. */
-  note(service: string, record: OwnershipRecord): void {
+  updateRecord(service: string, record: OwnershipRecord): void {
     const known = this.records.get(service);
     if (known !== undefined && record.revision <= known.revision) {
       return;
@@ -100,7 +102,7 @@
    *
    * @param stored `era`: the era of the store in which it was read; one that was written in another is not in force.
    */
-  noteStored(
+  updateFromStore(
     key: string,
     stored: { value: string; revision: number; era?: number },
   ): void {
@@ -108,7 +110,7 @@
     OwnershipRecord.decode(stored.value, stored.revision).match(
       (record) => {
         if (stored.era === undefined || stored.era === record.era) {
-          this.note(service, record);
+          this.updateRecord(service, record);
         }
       },
       (cause) => this.logger.log("ownership_unreadable", { service, cause }),
--- a/packages/router/src/ownership_leader.ts
+++ b/packages/router/src/ownership_leader.ts
@@ -16,7 +16,7 @@
   TakeoverWaits,
 } from "@bamboolink/keyspace";
 import type { MemberView } from "@bamboolink/membership";
-import type { BackendKeeper } from "./backend_keeper.ts";
+import type { BackendManager } from "./backend_manager.ts";
 import { bootMs, steadyMs } from "./clock.ts";
 import type { OwnershipDirectory } from "./ownership_directory.ts";
 import type { RecordInspector } from "./record_inspector.ts";
@@ -33,7 +33,7 @@
   readonly directory: OwnershipDirectory;
   readonly inspector: RecordInspector;
   readonly writer: RecordWriter;
-  readonly keeper: () => BackendKeeper;
+  readonly backendManager: () => BackendManager;
 }
 
 /** The part of one daemon in deciding who owns what. */
@@ -52,13 +52,13 @@
   }
 
   /** Notes a revision of the store that was written by this process. */
-  noteRegistration(revision: number): void {
+  onRegistered(revision: number): void {
     this.registration = revision;
     this.promises.forEach((book) => book.noteStart(revision));
   }
 
   /** Notes seals and appointments, from which waits are counted. */
-  noteRecord(service: string, record: OwnershipRecord): void {
+  onRecord(service: string, record: OwnershipRecord): void {
     const waits = this.waits.get(service) ?? TakeoverWaits.create();
     this.waits.set(service, waits);
     waits.note(record, bootMs());
@@ -119,12 +119,12 @@
 
   private leadService(service: string): void {
     const { inspector, writer } = this.context;
-    if (inspector.hasNoneInForce(service)) {
+    if (inspector.lacksRecordInForce(service)) {
       this.replaceRecord(service);
       return;
     }
     const known = this.context.directory.record(service);
-    if (known?.isRestored === true && inspector.isSettled(service)) {
+    if (known?.isRestored === true && inspector.canSettle(service)) {
       void writer.write(
         service,
         "settle",
@@ -144,12 +144,12 @@
   /** Puts a record in the place of one that can't be read, or is of a former era of the store. */
   private replaceRecord(service: string): void {
     const { inspector, writer } = this.context;
-    const former = inspector.findFormer(service);
+    const former = inspector.findRestorableRecord(service);
     if (former !== undefined) {
       void writer.restore(service, former);
       return;
     }
-    const spoiled = inspector.findSpoiled(service);
+    const spoiled = inspector.findRepairableRevision(service);
     if (spoiled !== undefined) {
       void writer.repair(service, spoiled);
     }
@@ -275,8 +275,8 @@
   }
 
   private allTakers(service: string): Candidate[] {
-    const { view, keeper } = this.context;
-    const own = keeper();
+    const { view, backendManager } = this.context;
+    const own = backendManager();
     const isTaker = own.service === service && own.phase === "ready";
     return [
       ...this.takers(service),
@@ -288,7 +288,7 @@
 
   /** Other backend servers of a service that take keys. */
   private takers(service: string): Candidate[] {
-    return findTakers(this.context.view, service);
+    return findCandidates(this.context.view, service);
   }
 
   private get own(): string {
@@ -297,7 +297,7 @@
 }
 
 /** The backend servers of a service that take keys, without the own one. */
-export function findTakers(view: MemberView, service: string): Candidate[] {
+export function findCandidates(view: MemberView, service: string): Candidate[] {
   return view.alive(steadyMs())
     .filter((report) => report.service === service && report.phase === "ready")
     .map(({ address, slots }) => ({ daemon: address, weight: slots }));
--- a/packages/router/src/tenure_keeper.ts
+++ b/packages/router/src/ownership_lease_manager.ts
@@ -16,7 +16,7 @@
 import type { Store } from "@bamboolink/store";
 import { bootMs } from "./clock.ts";
 import type { RecordInspector } from "./record_inspector.ts";
-import type { ReadAnswer, ReadQuestion } from "./shared_reader.ts";
+import type { SharedReadRequest, SharedReadResponse } from "./shared_reader.ts";
 import {
   OWNERSHIP_PREFIX,
   type OwnershipDirectory,
@@ -46,7 +46,7 @@
 const SHARED_READ_MS = 800;
 
 /** What an arbiter is asked. */
-export interface TenureQuestion {
+export interface LeasePromiseRequest {
   readonly service: string;
   /** The own clock, in milliseconds; comes back with the promise. */
   readonly askedAtMs: number;
@@ -55,34 +55,40 @@
 }
 
 /** What the keeper needs. */
-export interface TenureKeeperContext {
+export interface OwnershipLeaseManagerContext {
   readonly store: Store;
   readonly logger: Logger;
   readonly directory: OwnershipDirectory;
   readonly inspector: RecordInspector;
-  readonly tenure: Tenure;
+  readonly lease: Tenure;
   readonly grants: GrantBook;
   readonly random: () => number;
   /** The own daemon's address. */
-  readonly own: () => string;
+  readonly ownAddress: () => string;
   /** The service of which the backend server here owns keys, if it is of such a service. */
   readonly ownService: () => string | undefined;
   /** The daemon that reads for all owners, if there is one. */
   readonly findReader: () => string | undefined;
   /** Asks the daemon that reads for all what the store holds. */
-  readonly onReadWanted: (reader: string, question: ReadQuestion) => void;
+  readonly onSharedReadNeeded: (
+    reader: string,
+    question: SharedReadRequest,
+  ) => void;
   /** Whether keys wait to be given to others. */
-  readonly isGivingUp: () => boolean;
+  readonly isReleasingKeys: () => boolean;
   /** Called with each read of the own service's record. */
   readonly onRead: (service: string) => void;
   /** Called when the own daemon is found to be sealed. */
   readonly onSealed: (service: string) => void;
   /** Asks an arbiter for its promise; the daemon's clock comes back with it. */
-  readonly onPromiseNeeded: (arbiter: string, question: TenureQuestion) => void;
+  readonly onPromiseNeeded: (
+    arbiter: string,
+    question: LeasePromiseRequest,
+  ) => void;
 }
 
 /** Keeps the tenure of the backend server on this host. */
-export class TenureKeeper {
+export class OwnershipLeaseManager {
   private readonly turns: ConfirmTurns;
   /** When the daemon that reads for all was asked, if its answer is still awaited. */
   private sharedAskedMs: number | undefined;
@@ -90,13 +96,13 @@
   private isConfirming = false;
   private isOnPromises = false;
 
-  private constructor(private readonly context: TenureKeeperContext) {
+  private constructor(private readonly context: OwnershipLeaseManagerContext) {
     this.turns = ConfirmTurns.create(context.random);
   }
 
   /** Creates a keeper. */
-  static create(context: TenureKeeperContext): TenureKeeper {
-    return new TenureKeeper(context);
+  static create(context: OwnershipLeaseManagerContext): OwnershipLeaseManager {
+    return new OwnershipLeaseManager(context);
   }
 
   /** Does what is due. */
@@ -116,7 +122,7 @@
    * record, or of an earlier one, says that the known record was in force after the question; one with a later
    * revision says that there is news.
    */
-  noteShared({ service, askedAtMs, revision }: ReadAnswer): void {
+  onSharedRead({ service, askedAtMs, revision }: SharedReadResponse): void {
     const record = this.context.directory.record(service);
     if (service !== this.context.ownService() || record === undefined) {
       return;
@@ -133,7 +139,7 @@
 
   /** Whether a move that begins now can be written, as far as that is known. */
   isMovable(): boolean {
-    return this.context.tenure.confirmedForMs(bootMs()) < MOVABLE_MS &&
+    return this.context.lease.confirmedForMs(bootMs()) < MOVABLE_MS &&
       !this.isRestored;
   }
 
@@ -156,14 +162,14 @@
     }
     const read = this.read(service, sentAtMs);
     await Promise.race([read, sleep(PROBE_MS, undefined, { ref: false })]);
-    return this.context.tenure.confirmedForMs(sentAtMs) <= 0 &&
+    return this.context.lease.confirmedForMs(sentAtMs) <= 0 &&
       !this.isRestored;
   }
 
   /** Reads the record to prove that no takeover of this daemon can have finished. */
   private confirm(service: string): void {
     const nowMs = bootMs();
-    const hasToGiveUp = this.context.isGivingUp() && !this.isMovable();
+    const hasToGiveUp = this.context.isReleasingKeys() && !this.isMovable();
     const pauseMs = hasToGiveUp ? CONFIRM_LEAVING_MS : undefined;
     if (!this.turns.isDue(nowMs, pauseMs) || this.isConfirming) {
       return;
@@ -175,7 +181,7 @@
       return;
     }
     this.sharedAskedMs = nowMs;
-    this.context.onReadWanted(reader, { service, askedAtMs: nowMs });
+    this.context.onSharedReadNeeded(reader, { service, askedAtMs: nowMs });
   }
 
   private missSharedRead(service: string): void {
@@ -205,7 +211,7 @@
       // Nothing is confirmed: the next record may name other owners at any moment.
       return;
     }
-    directory.note(service, record);
+    directory.updateRecord(service, record);
     onRead(service);
     this.confirmBy(service, record, sentAtMs);
   }
@@ -216,35 +222,35 @@
     record: OwnershipRecord,
     sinceMs: number,
   ): void {
-    const { logger, tenure, grants, own, onSealed } = this.context;
+    const { logger, lease, grants, ownAddress, onSealed } = this.context;
     if (this.context.ownService() !== service) {
       // The backend server was replaced by one of another service while the read was under way.
       return;
     }
-    if (!record.isSealed(own())) {
-      if (!tenure.mayConfirm(record, bootMs())) {
+    if (!record.isSealed(ownAddress())) {
+      if (!lease.mayConfirm(record, bootMs())) {
         return;
       }
       grants.noteConfirmed({
         revision: record.revision,
-        hasLapsed: tenure.hasLapsed(bootMs()),
+        hasLapsed: lease.hasLapsed(bootMs()),
       });
-      tenure.confirm(sinceMs, record);
+      lease.confirm(sinceMs, record);
       return;
     }
     logger.log("ownership_sealed_here", {
       service,
       revision: record.revision,
-      tenure_left_ms: Math.round(tenure.untilMs - bootMs()),
+      tenure_left_ms: Math.round(lease.untilMs - bootMs()),
     });
     onSealed(service);
   }
 
   /** While the store can't be read, the tenure goes on as long as all arbiters promise. */
   private askPromises(service: string): void {
-    const { tenure, logger, onPromiseNeeded } = this.context;
+    const { lease, logger, onPromiseNeeded } = this.context;
     const nowMs = bootMs();
-    const confirmedForMs = tenure.confirmedForMs(nowMs);
+    const confirmedForMs = lease.confirmedForMs(nowMs);
     if (confirmedForMs <= ASK_AFTER_MS) {
       this.isOnPromises = false;
       return;
@@ -258,14 +264,14 @@
       logger.log("tenure_on_promises", {
         service,
         confirmed_for_ms: Math.round(confirmedForMs),
-        arbiters: tenure.arbiters.map(({ daemon }) => daemon),
+        arbiters: lease.arbiters.map(({ daemon }) => daemon),
       });
     }
     const question = {
       service,
       askedAtMs: nowMs,
-      confirmedRevision: tenure.confirmedRevision,
+      confirmedRevision: lease.confirmedRevision,
     };
-    tenure.arbiters.forEach(({ daemon }) => onPromiseNeeded(daemon, question));
+    lease.arbiters.forEach(({ daemon }) => onPromiseNeeded(daemon, question));
   }
 }
--- a/packages/router/src/tenure_keeper_test.ts
+++ b/packages/router/src/ownership_lease_manager_test.ts
@@ -12,7 +12,7 @@
 import { bootMs } from "./clock.ts";
 import { OwnershipDirectory } from "./ownership_directory.ts";
 import { RecordInspector } from "./record_inspector.ts";
-import { TenureKeeper } from "./tenure_keeper.ts";
+import { OwnershipLeaseManager } from "./ownership_lease_manager.ts";
 
 const SERVICE = "rooms";
 const RECORD = OwnershipRecord.create()
@@ -23,41 +23,41 @@
 function createKeeper(stored: { value: string; revision: number } | undefined) {
   const logger = Logger.createBounded("test", { level: "error" });
   const directory = OwnershipDirectory.create(logger);
-  directory.note(SERVICE, RECORD);
-  const tenure = Tenure.create();
+  directory.updateRecord(SERVICE, RECORD);
+  const lease = Tenure.create();
   const found = stored === undefined ? undefined : { key: "", ...stored };
-  const keeper = TenureKeeper.create({
+  const keeper = OwnershipLeaseManager.create({
     store: { get: () => okAsync(found) } as unknown as Store,
     logger,
     directory,
     inspector: RecordInspector.create({ logger, directory, era: () => 0 }),
-    tenure,
+    lease,
     grants: GrantBook.create(bootMs()),
     random: Math.random,
-    own: () => "own",
+    ownAddress: () => "own",
     ownService: () => SERVICE,
     findReader: () => undefined,
-    onReadWanted: () => undefined,
-    isGivingUp: () => false,
+    onSharedReadNeeded: () => undefined,
+    isReleasingKeys: () => false,
     onRead: () => undefined,
     onSealed: () => undefined,
     onPromiseNeeded: () => undefined,
   });
-  return { keeper, tenure };
+  return { keeper, lease };
 }
 
 async function isConfirmed(
   stored: { value: string; revision: number } | undefined,
 ): Promise<boolean> {
-  const { keeper, tenure } = createKeeper(stored);
+  const { keeper, lease } = createKeeper(stored);
   keeper.tick();
   await nextTurn();
-  return tenure.longestHoldMs(bootMs()) > 0;
+  return lease.longestHoldMs(bootMs()) > 0;
 }
 
-describe("tenure keeper", () => {
+describe("lease keeper", () => {
   describe("that finds the record that it knows", () => {
-    it("confirms the tenure", async () => {
+    it("confirms the lease", async () => {
       const stored = { value: RECORD.encode(), revision: 7 };
       expect(await isConfirmed(stored)).to.equal(true);
     });
@@ -67,7 +67,7 @@
     // Symptom: two backend servers hold the same keys.
     // Sequence: somebody deletes the record; a daemon that starts then divides the keys anew, while the owners of
     // before go on.
-    // Cause: an empty record shows no seal, and so confirmed every tenure.
+    // Cause: an empty record shows no seal, and so confirmed every lease.
     it("confirms nothing", async () => {
       expect(await isConfirmed(undefined)).to.equal(false);
     });
@@ -82,13 +82,13 @@
 
   describe("that is answered by the daemon that reads for all", () => {
     it("counts from when it asked if it knows that record, and reads for itself if there is news", async () => {
-      const { keeper, tenure } = createKeeper({ value: "{", revision: 8 });
+      const { keeper, lease } = createKeeper({ value: "{", revision: 8 });
       const askedAtMs = bootMs() - 300;
-      keeper.noteShared({ service: SERVICE, askedAtMs, revision: 8 });
+      keeper.onSharedRead({ service: SERVICE, askedAtMs, revision: 8 });
       await nextTurn();
-      expect(tenure.longestHoldMs(bootMs())).to.equal(0);
-      keeper.noteShared({ service: SERVICE, askedAtMs, revision: 7 });
-      expect(tenure.confirmedForMs(askedAtMs)).to.equal(0);
+      expect(lease.longestHoldMs(bootMs())).to.equal(0);
+      keeper.onSharedRead({ service: SERVICE, askedAtMs, revision: 7 });
+      expect(lease.confirmedForMs(askedAtMs)).to.equal(0);
     });
   });
 });
--- a/packages/router/src/ownership_keeper.ts
+++ b/packages/router/src/ownership_manager.ts
@@ -19,79 +19,88 @@
 import type { Logger } from "@bamboolink/logger";
 import type { MemberView } from "@bamboolink/membership";
 import type { Store } from "@bamboolink/store";
-import type { BackendKeeper } from "./backend_keeper.ts";
+import type { BackendManager } from "./backend_manager.ts";
 import { bootMs, steadyMs } from "./clock.ts";
-import type { HandoverDesk } from "./handover_desk.ts";
-import { KeyShedder } from "./key_shedder.ts";
+import type { HandoverCoordinator } from "./handover_coordinator.ts";
+import { KeyRebalancer } from "./key_rebalancer.ts";
 import type { LocalBackend } from "./local_backend.ts";
 import type { OwnershipDirectory } from "./ownership_directory.ts";
-import { findTakers, OwnershipLeader } from "./ownership_leader.ts";
+import { findCandidates, OwnershipLeader } from "./ownership_leader.ts";
 import type { RecordInspector } from "./record_inspector.ts";
 import { RecordWriter } from "./record_writer.ts";
-import type { ReadAnswer, ReadQuestion } from "./shared_reader.ts";
-import { TenureKeeper, type TenureQuestion } from "./tenure_keeper.ts";
+import type { SharedReadRequest, SharedReadResponse } from "./shared_reader.ts";
+import {
+  type LeasePromiseRequest,
+  OwnershipLeaseManager,
+} from "./ownership_lease_manager.ts";
 
 /** Heartbeats of the own backend server that stay away for so long won't come soon, in milliseconds. */
 const HEARTBEATS_MISSED_MS = 3_000;
 
 /** What the keeper needs. */
-export interface OwnershipKeeperContext {
+export interface OwnershipManagerContext {
   readonly store: Store;
   readonly logger: Logger;
   readonly view: MemberView;
   readonly directory: OwnershipDirectory;
   readonly inspector: RecordInspector;
   readonly grants: GrantBook;
-  readonly tenure: Tenure;
+  readonly lease: Tenure;
   readonly backend: LocalBackend;
-  readonly keeper: () => BackendKeeper;
-  readonly desk: HandoverDesk;
+  readonly backendManager: () => BackendManager;
+  readonly handoverCoordinator: HandoverCoordinator;
   readonly random: () => number;
   /** Tells all daemons of a newer record. */
   readonly onWritten: (service: string, record: OwnershipRecord) => void;
   /** Tells a daemon that keys are about to come to it. */
-  readonly onPlanned: (daemon: string, moves: readonly PlannedMove[]) => void;
+  readonly onMovesPlanned: (
+    daemon: string,
+    moves: readonly PlannedMove[],
+  ) => void;
   /** Asks the daemon that reads for all owners what the store holds. */
-  readonly onReadWanted: (reader: string, question: ReadQuestion) => void;
+  readonly onSharedReadNeeded: (
+    reader: string,
+    question: SharedReadRequest,
+  ) => void;
   /** Asks an arbiter for its promise; the daemon's clock comes back with it. */
   readonly onPromiseNeeded: (
     arbiter: string,
-    question: TenureQuestion,
+    question: LeasePromiseRequest,
   ) => void;
 }
 
 /** Ownership as one daemon takes part in it. */
-export class OwnershipKeeper {
+export class OwnershipManager {
   private readonly writer: RecordWriter;
-  private readonly tenures: TenureKeeper;
-  private readonly shedder: KeyShedder;
+  private readonly leaseManager: OwnershipLeaseManager;
+  private readonly rebalancer: KeyRebalancer;
   private readonly leader: OwnershipLeader;
   private readonly handovers: FreedRange[] = [];
   private registration = 0;
 
-  private constructor(private readonly context: OwnershipKeeperContext) {
+  private constructor(private readonly context: OwnershipManagerContext) {
     const ownService = () => this.ownService;
     this.writer = RecordWriter.create(context);
-    this.tenures = TenureKeeper.create({
+    this.leaseManager = OwnershipLeaseManager.create({
       ...context,
       ownService,
-      own: () => this.own,
+      ownAddress: () => this.own,
       findReader: () => this.leader.findReader(),
-      isGivingUp: () => this.isGivingUp,
+      isReleasingKeys: () => this.isReleasingKeys,
       onRead: (service) => this.ensureTokens(service),
       onSealed: (service) => this.answerSeal(service),
     });
-    this.shedder = KeyShedder.create({
+    this.rebalancer = KeyRebalancer.create({
       ...context,
-      tenures: this.tenures,
+      leaseManager: this.leaseManager,
       ownService,
     });
     this.leader = OwnershipLeader.create({ ...context, writer: this.writer });
   }
 
   /** Creates a keeper. */
-  static create(context: OwnershipKeeperContext): OwnershipKeeper {
-    const keeper = new OwnershipKeeper(context);
+  static create(context: OwnershipManagerContext): OwnershipManager {
+    const keeper = new OwnershipManager(context);
     context.directory.onRecord((service, record) =>
       keeper.noteRecord(service, record)
     );
@@ -102,9 +111,9 @@
    * Notes a revision of the store that was written by this process. Tokens come from then on: an
    * earlier process of this daemon can't have used a higher one.
    */
-  noteRegistration(revision: number): void {
+  onRegistered(revision: number): void {
     this.registration = revision;
-    this.leader.noteRegistration(revision);
+    this.leader.onRegistered(revision);
     this.context.directory.keyedServices.forEach((service) => {
       const record = this.context.directory.record(service);
       if (record !== undefined) {
@@ -123,12 +132,12 @@
    * The backend server leaves: its keys are given up in the answer that acknowledges it, if the store can be
    * written; returns whether they are, or nobody is there to take them.
    */
-  async giveUpAll(): Promise<boolean> {
+  async releaseAll(): Promise<boolean> {
     const service = this.ownService;
     if (service === undefined || this.takers(service).length === 0) {
       return true;
     }
-    if (!await this.tenures.reachesStore(service)) {
+    if (!await this.leaseManager.reachesStore(service)) {
       return false;
     }
     const { grants } = this.context;
@@ -137,33 +146,33 @@
   }
 
   /** Whether keys are still the own daemon's by the record that others should have. */
-  get isGivingUp(): boolean {
-    const { grants, keeper } = this.context;
+  get isReleasingKeys(): boolean {
+    const { grants, backendManager } = this.context;
     const service = this.ownService;
-    const hasLeft = keeper().phase !== "ready" && grants.ownCount > 0;
+    const hasLeft = backendManager().phase !== "ready" && grants.ownCount > 0;
     return service !== undefined && this.takers(service).length > 0 &&
       (grants.isReleasing || hasLeft);
   }
 
   /** Takes ranges that the backend server has given back, with their proofs. */
-  noteFreed(freed: readonly FreedRange[]): void {
+  handleFreed(freed: readonly FreedRange[]): void {
     this.handovers.push(...freed);
     this.publishReleases();
   }
 
   /** Does what is due. */
   tick(): void {
-    this.tenures.tick();
+    this.leaseManager.tick();
     this.planReleases();
     this.publishReleases();
     this.releaseForeign();
-    this.shedder.tick();
+    this.rebalancer.tick();
     this.leader.tick();
   }
 
   /** Takes what the daemon that reads for all owners has found. */
-  noteShared(answer: ReadAnswer): void {
-    this.tenures.noteShared(answer);
+  onSharedRead(answer: SharedReadResponse): void {
+    this.leaseManager.onSharedRead(answer);
   }
 
   /** Whether an owner is promised not to be taken over by this daemon for a while. */
@@ -172,23 +181,23 @@
   }
 
   /** Whether this daemon reads the store for all owners. */
-  get isReader(): boolean {
+  get isSharedReader(): boolean {
     return this.leader.findReader() === this.own;
   }
 
   /** Work that the own keys bring for each slot. */
   get utilization(): number {
-    return this.shedder.utilization;
+    return this.rebalancer.utilization;
   }
 
   /** Whether keys wait to be moved away with the next answer to a heartbeat. */
   get hasPlannedMoves(): boolean {
-    return this.shedder.hasPlannedMoves;
+    return this.rebalancer.hasPlannedMoves;
   }
 
   /** Begins the planned moves, in the answer to a heartbeat. */
   beginMoves(): Promise<void> {
-    return this.shedder.beginMoves();
+    return this.rebalancer.beginMoves();
   }
 
   private get own(): string {
@@ -196,25 +205,25 @@
   }
 
   private get ownService(): string | undefined {
-    const service = this.context.keeper().service;
+    const service = this.context.backendManager().service;
     return service !== undefined && this.context.directory.isKeyed(service)
       ? service
       : undefined;
   }
 
   private noteRecord(service: string, record: OwnershipRecord): void {
-    this.leader.noteRecord(service, record);
+    this.leader.onRecord(service, record);
     if (service === this.ownService && this.registration > 0) {
-      const { grants, desk, backend } = this.context;
+      const { grants, handoverCoordinator, backend } = this.context;
       const before = grants.ownCount;
       grants.noteOwnership(record, {
         daemon: this.own,
         revision: Math.max(record.revision, this.registration),
       });
       if (grants.ownCount > before) {
-        desk.noteArrived((key) => grants.isOwn(key)).forEach((range) =>
-          backend.profile.seed(range, range.load)
-        );
+        handoverCoordinator.takeArrived((key) => grants.isOwn(key)).forEach((
+          range,
+        ) => backend.profile.seed(range, range.load));
       }
     }
   }
@@ -246,13 +255,13 @@
 
   /** A backend server that leaves, is gone or can't be granted any more gives up its keys. */
   private planReleases(): void {
-    const { grants, keeper } = this.context;
+    const { grants, backendManager } = this.context;
     const service = this.ownService;
     if (service === undefined || grants.ownCount === 0) {
       return;
     }
-    const { phase, handOverUntilMs } = keeper();
-    if (this.takers(service).length === 0 || !this.tenures.isMovable()) {
+    const { phase, handOverUntilMs } = backendManager();
+    if (this.takers(service).length === 0 || !this.leaseManager.isMovable()) {
       return;
     }
     // One that has left without a heartbeat holds its keys until its grant runs out, and serves them while
@@ -263,7 +272,7 @@
       grants.beginRelease(grants.ownRanges);
       return;
     }
-    if (keeper().silentMs() > HEARTBEATS_MISSED_MS) {
+    if (backendManager().sinceLastHeartbeatMs() > HEARTBEATS_MISSED_MS) {
       // Its heartbeats don't arrive; once what it holds has run out, it can't serve its keys any more.
       grants.beginRelease(grants.findLapsed(bootMs()));
     }
@@ -292,8 +301,8 @@
    * that held them has ended, or another could not be at its address.
    */
   private releaseForeign(): void {
-    const { directory, keeper } = this.context;
-    const { service, phase } = keeper();
+    const { directory, backendManager } = this.context;
+    const { service, phase } = backendManager();
     if (
       service === undefined || phase === "absent" || this.registration === 0
     ) {
@@ -330,7 +339,7 @@
   ): OwnershipRecord {
     const takers = this.takers(service);
     const planned = released.flatMap((range) =>
-      this.shedder.destinations.flatMap((destination) => {
+      this.rebalancer.destinations.flatMap((destination) => {
         const shared = intersect(destination, range);
         const isThere = takers.some(({ daemon }) =>
           daemon === destination.daemon
@@ -367,6 +376,6 @@
 
   /** Other backend servers of a service that take keys. */
   private takers(service: string): Candidate[] {
-    return findTakers(this.context.view, service);
+    return findCandidates(this.context.view, service);
   }
 }
--- a/packages/router/src/peer_server.ts
+++ b/packages/router/src/peer_server.ts
@@ -92,7 +92,7 @@
       case CONFIGURATION_PATH:
         return configuration.inForce?.text;
       case OWNERSHIP_PATH:
-        return JSON.stringify(this.context.directory.all);
+        return JSON.stringify(this.context.directory.encodedRecords);
       case STORE_GET_PATH: {
         const { key } = GetQuestion.parse(readJson(body));
         const found = await store.get(key);
--- a/packages/router/src/ports/backend_protocol.ts
+++ b/packages/router/src/ports/backend_protocol.ts
@@ -13,8 +13,8 @@
 import type { Result } from "neverthrow";
 
 /** What a request to a backend server carries beside the caller's own headers. */
-export interface HandoverDetails {
-  readonly deadlineLeftMs: number;
+export interface DispatchDetails {
+  readonly remainingMs: number;
   /** The id of the only server that may run the request. */
   readonly instance: string;
   /** The service on the host where the request began. */
@@ -22,7 +22,7 @@
 }
 
 /** How an answer of a backend server is to be taken. */
-export type AnswerVerdict =
+export type ResponseVerdict =
   /** The answer to the request. */
   | "answer"
   /** The backend server says that it has not run the request. */
@@ -51,21 +51,21 @@
 }
 
 /** What a backend server says of itself. */
-export type BackendNotice = BackendHeartbeat | BackendDeparture;
+export type BackendNotification = BackendHeartbeat | BackendDeparture;
 
 /** How backend servers speak with the router. */
 export abstract class BackendProtocol {
   /** Headers for a request, as names and values in turn. */
-  abstract requestHeaders(details: HandoverDetails): string[];
+  abstract requestHeaders(details: DispatchDetails): string[];
 
   /** Judges an answer by its status and headers. */
-  abstract judge(
+  abstract classifyResponse(
     answer: {
       status: number;
       headers: Readonly<Record<string, string | string[] | undefined>>;
     },
     requestId: string,
-  ): AnswerVerdict;
+  ): ResponseVerdict;
 
   /** The incarnation that answered a health check, if it says so. */
   abstract readIncarnation(
@@ -76,12 +76,12 @@
   ): Incarnation | undefined;
 
   /** Reads what a backend server says of itself. */
-  abstract readNotice(
+  abstract parseNotification(
     method: string,
     target: string,
     body: string,
-  ): Result<BackendNotice, BamboolinkError>;
+  ): Result<BackendNotification, BamboolinkError>;
 
   /** Writes the acknowledgement of a heartbeat; `undefined` grants nothing and renews nothing. */
-  abstract writeAcknowledgement(grant: Grant | undefined): string;
+  abstract encodeAcknowledgement(grant: Grant | undefined): string;
 }
--- a/packages/router/src/record_inspector.ts
+++ b/packages/router/src/record_inspector.ts
@@ -87,7 +87,7 @@
   }
 
   /** Notes a record that is in force. */
-  noteInForce(service: string, record: OwnershipRecord): void {
+  onRecordInForce(service: string, record: OwnershipRecord): void {
     if (record.era === this.context.era()) {
       const { repair, restore } = this.watch(service);
       repair.noteReadable();
@@ -96,25 +96,25 @@
   }
 
   /** Whether no record was in force when the store was last looked at, although there was one. */
-  hasNoneInForce(service: string): boolean {
+  lacksRecordInForce(service: string): boolean {
     const { repair, restore } = this.watch(service);
     return repair.isSpoiled || restore.isFormer;
   }
 
   /** The revision of a spoiled record that may be replaced now, if there is one. */
-  findSpoiled(service: string): number | undefined {
+  findRepairableRevision(service: string): number | undefined {
     return this.watch(service).repair.findDue(bootMs());
   }
 
   /** The record of a former era that may be replaced now, if there is one. */
-  findFormer(service: string): FormerRecord | undefined {
+  findRestorableRecord(service: string): FormerRecord | undefined {
     const { restore, former: record } = this.watch(service);
     const revision = restore.findDue(bootMs());
     return revision === undefined ? undefined : { revision, record };
   }
 
   /** Whether a record that was put back may be settled now. */
-  isSettled(service: string): boolean {
+  canSettle(service: string): boolean {
     return this.watch(service).restore.isSettled(bootMs());
   }
 
--- a/packages/router/src/record_writer.ts
+++ b/packages/router/src/record_writer.ts
@@ -170,7 +170,7 @@
         return;
       }
       await this.learnOther(service, known.revision);
-      if (this.context.inspector.hasNoneInForce(service)) {
+      if (this.context.inspector.lacksRecordInForce(service)) {
         // No write succeeds until the record is replaced.
         this.pause(service);
         return;
@@ -207,8 +207,8 @@
     const { value: revision } = settled;
     logger.log("ownership_written", { ...told, revision });
     const inForce = record.withRevision(revision);
-    inspector.noteInForce(service, inForce);
-    directory.note(service, inForce);
+    inspector.onRecordInForce(service, inForce);
+    directory.updateRecord(service, inForce);
     onWritten(service, inForce);
     return undefined;
   }
@@ -229,7 +229,7 @@
     }
     const record = inspector.inspect(service, found.value);
     if (record !== undefined && record.revision > 0) {
-      directory.note(service, record);
+      directory.updateRecord(service, record);
     }
   }
 }
--- a/packages/router/src/record_writer_test.ts
+++ b/packages/router/src/record_writer_test.ts
@@ -46,7 +46,7 @@
   const store = new ContestedStore();
   const logger = Logger.createBounded("test", { level: "error" });
   const directory = OwnershipDirectory.create(logger);
-  directory.note(SERVICE, KNOWN);
+  directory.updateRecord(SERVICE, KNOWN);
   const writer = RecordWriter.create({
     store: store as unknown as Store,
     logger,
@@ -72,7 +72,7 @@
   // Cause: the record was read at once, which those who had lost to the same write did at the same moment.
   it("builds on the news of the write that came before its own", async () => {
     const { store, record } = await loseRace((directory) =>
-      directory.note(SERVICE, OTHER)
+      directory.updateRecord(SERVICE, OTHER)
     );
     expect(store.reads).to.equal(0);
     expect(store.writes).to.deep.equal([7, 8]);
--- a/packages/router/src/relayed_store.ts
+++ b/packages/router/src/relayed_store.ts
@@ -23,12 +23,12 @@
 /** What the relayed store needs. */
 export interface RelayedStoreContext {
   readonly direct: Store;
-  readonly questions: PeerQuestions;
+  readonly peerClient: PeerQuestions;
   readonly logger: Logger;
   /** Address of a daemon that reaches the store, if one is known. */
-  readonly findHelper: () => string | undefined;
+  readonly findRelay: () => string | undefined;
   /** Called when the store has come back from an older copy. */
-  readonly onWentBack: () => void;
+  readonly onRolledBack: () => void;
 }
 
 /**
@@ -54,7 +54,7 @@
   }
 
   /** Whether the daemon itself reaches the store. */
-  get isReached(): boolean {
+  get isReachable(): boolean {
     return this.hasSucceeded && !this.hasJustFailed;
   }
 
@@ -67,7 +67,7 @@
       return this.askRecord(helper, key).orElse(ask);
     }
     return ask().orElse((error) => {
-      const other = this.context.findHelper();
+      const other = this.context.findRelay();
       return other === undefined ? errAsync(error) : this.askRecord(other, key);
     });
   }
@@ -81,7 +81,7 @@
     }
     const { direct } = this.context;
     return this.direct(direct.compareAndSwap(request)).orElse((error) => {
-      const other = this.context.findHelper();
+      const other = this.context.findRelay();
       return other === undefined || !isSurelyUndone(error)
         ? errAsync(error)
         : this.askWrite(other, request);
@@ -96,7 +96,7 @@
     helper: string,
     key: string,
   ): ResultAsync<StoredRecord | undefined, BamboolinkError> {
-    return this.context.questions.askRecord(helper, key)
+    return this.context.peerClient.askRecord(helper, key)
       .map(({ record, era }) => {
         this.toldEra = Math.max(this.toldEra, era);
         return record;
@@ -107,7 +107,7 @@
     helper: string,
     request: CasRequest,
   ): ResultAsync<number, BamboolinkError> {
-    return this.context.questions.askWrite(helper, request)
+    return this.context.peerClient.askWrite(helper, request)
       .map(({ revision, era }) => {
         this.toldEra = Math.max(this.toldEra, era);
         return revision;
@@ -145,7 +145,7 @@
    * own timeout before it is asked for elsewhere: a move of keys, which takes two of them, takes seconds.
    */
   private helperFirst(): string | undefined {
-    return this.hasJustFailed ? this.context.findHelper() : undefined;
+    return this.hasJustFailed ? this.context.findRelay() : undefined;
   }
 
   private get hasJustFailed(): boolean {
@@ -177,7 +177,7 @@
     this.seenEra = era;
     if (seenEra !== undefined && era > seenEra) {
       this.context.logger.log("store_era_changed", { from: seenEra, to: era });
-      this.context.onWentBack();
+      this.context.onRolledBack();
     }
   }
 
@@ -185,12 +185,12 @@
     if (isReached) {
       this.noteEra();
     }
-    const was = this.isReached;
+    const was = this.isReachable;
     this.hasSucceeded ||= isReached;
     this.failedAtMs = isReached ? -Infinity : bootMs();
-    if (was !== this.isReached) {
+    if (was !== this.isReachable) {
       this.context.logger.log(
-        this.isReached ? "store_reached" : "store_out_of_reach",
+        this.isReachable ? "store_reached" : "store_out_of_reach",
       );
     }
   }
--- a/packages/router/src/request_quarantine.ts
+++ b/packages/router/src/request_quarantine.ts
@@ -13,7 +13,7 @@
   RecentAnswers,
   type Standing,
 } from "@bamboolink/quarantine";
-import type { BackendEnd } from "./backend_keeper.ts";
+import type { BackendProcessEnd } from "./backend_manager.ts";
 import type { Datagram } from "./datagram_codec.ts";
 import type { Work } from "./work.ts";
 
@@ -143,7 +143,7 @@
   }
 
   /** Notes that the process of the backend server here has ended. */
-  noteEnded({ instance, proof }: BackendEnd): void {
+  noteEnded({ instance, proof }: BackendProcessEnd): void {
     const { logger, nowMs, random } = this.context;
     // Refused: nobody listens until the next process comes. Replaced: it is there.
     this.hasEnded = proof === "refused";
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -25,7 +25,7 @@
 import type { Store } from "@bamboolink/store";
 import { AnswerSender } from "./answer_sender.ts";
 import { BackendBoard } from "./backend_board.ts";
-import { BackendKeeper } from "./backend_keeper.ts";
+import { BackendManager } from "./backend_manager.ts";
 import { bootMs, steadyMs } from "./clock.ts";
 import { ConfigurationKeeper } from "./configuration_keeper.ts";
 import type { Datagram } from "./datagram_codec.ts";
@@ -33,7 +33,7 @@
 import { Forwarder } from "./forwarder.ts";
 import { GossipNode, ROUND_MS, splitAddress } from "./gossip_node.ts";
 import { createHeartbeatServer } from "./heartbeat_server.ts";
-import { HandoverDesk } from "./handover_desk.ts";
+import { HandoverCoordinator } from "./handover_coordinator.ts";
 import { Ingress } from "./ingress.ts";
 import { LinkServer } from "./link_server.ts";
 import { LocalBackend } from "./local_backend.ts";
@@ -41,7 +41,7 @@
 import { startMetricsServer } from "./metrics_server.ts";
 import { MemberDirectory } from "./member_directory.ts";
 import { OwnershipDirectory } from "./ownership_directory.ts";
-import { OwnershipKeeper } from "./ownership_keeper.ts";
+import { OwnershipManager } from "./ownership_manager.ts";
 import { PeerQuestions } from "./peer_questions.ts";
 import { PeerServer } from "./peer_server.ts";
 import type { BackendProtocol } from "./ports/backend_protocol.ts";
@@ -58,9 +58,9 @@
 import { RequestQuarantine } from "./request_quarantine.ts";
 import { RequestRunner } from "./request_runner.ts";
 import {
-  type ReadAnswer,
-  type ReadQuestion,
   SharedReader,
+  type SharedReadRequest,
+  type SharedReadResponse,
 } from "./shared_reader.ts";
 import { StoreWatcher } from "./store_watcher.ts";
 
@@ -103,7 +103,7 @@
   private readonly tenure = Tenure.create(bootMs());
   private readonly board = BackendBoard.create();
   private readonly questions = PeerQuestions.create();
-  private readonly desk = HandoverDesk.create();
+  private readonly desk = HandoverCoordinator.create();
   private readonly lag = LoopLag.create(TICK_MS, steadyMs);
   private readonly logger: Logger;
   private readonly directStore: Store;
@@ -114,8 +114,8 @@
   private readonly quarantine: RequestQuarantine;
   private readonly evacuation: EvacuationKeeper;
   private readonly backend: LocalBackend;
-  private readonly keeper: BackendKeeper;
-  private readonly ownership: OwnershipKeeper;
+  private readonly keeper: BackendManager;
+  private readonly ownership: OwnershipManager;
   private readonly configuration: ConfigurationKeeper;
   private readonly members: MemberDirectory;
   private readonly gossip: GossipNode;
@@ -145,10 +145,10 @@
     this.view = MemberView.create(createOwnReport(settings));
     this.store = RelayedStore.create({
       direct: this.directStore,
-      questions: this.questions,
+      peerClient: this.questions,
       logger,
-      findHelper: () => this.findHelper(),
-      onWentBack: () => this.restoreMembers(),
+      findRelay: () => this.findHelper(),
+      onRolledBack: () => this.restoreMembers(),
     });
     this.directory = OwnershipDirectory.create(logger);
     const inspector = RecordInspector.create({
@@ -160,7 +160,7 @@
       store: this.directStore,
       logger,
       inspector,
-      onAnswer: (owner, answer) => this.answerRead(owner, answer),
+      onResponse: (owner, answer) => this.answerRead(owner, answer),
     });
     this.quarantine = RequestQuarantine.create({
       address: settings.gossipAddress,
@@ -180,7 +180,7 @@
       tellAll: (news) => this.gossip.spread(news),
       tellSome: (news) => this.gossip.spreadToSome(news),
       ask: () => this.askEvacuation(),
-      onChange: () => this.keeper.noteEvacuation(),
+      onChange: () => this.keeper.onEvacuationChanged(),
     });
     this.backend = LocalBackend.create({
       address: settings.backendAddress,
@@ -188,13 +188,13 @@
       logger,
       grants: this.grants,
       quarantine: this.quarantine,
-      onSuspicion: (suspicion) => void this.keeper.suspect(suspicion),
+      onSuspicion: (suspicion) => void this.keeper.handleSuspicion(suspicion),
     });
-    this.keeper = BackendKeeper.create({
+    this.keeper = BackendManager.create({
       logger,
       backend: this.backend,
       grants: this.grants,
-      tenure: this.tenure,
+      lease: this.tenure,
       evacuation: this.evacuation,
       drainMs: () => this.settings.bounds.drainMs,
       probe: (service) =>
@@ -205,31 +205,32 @@
               USUAL_HEALTH_PATH,
         }),
       isKeyed: (service) => this.directory.isKeyed(service),
-      isNamed: (service) => this.configuration.inForce?.services.has(service),
+      isConfigured: (service) =>
+        this.configuration.inForce?.services.has(service),
       coldLimit: (service) => this.coldLimitOf(service),
-      heartbeatMs: () => this.settings.heartbeatMs,
+      heartbeatIntervalMs: () => this.settings.heartbeatMs,
       mayGrant: (service) => this.ownership.mayGrant(service),
       onChange: () => this.gossip.announce(),
-      onFreed: (freed) => this.ownership.noteFreed(freed),
-      beforeLeaving: () => this.ownership.giveUpAll(),
-      onEnded: (end) => this.quarantine.noteEnded(end),
+      onFreed: (freed) => this.ownership.handleFreed(freed),
+      beforeDrain: () => this.ownership.releaseAll(),
+      onProcessEnded: (end) => this.quarantine.noteEnded(end),
       beforeGrant: () => this.meetHandovers(),
     });
-    this.ownership = OwnershipKeeper.create({
+    this.ownership = OwnershipManager.create({
       store: this.store,
       logger,
       view: this.view,
       directory: this.directory,
       inspector,
       grants: this.grants,
-      tenure: this.tenure,
+      lease: this.tenure,
       backend: this.backend,
-      keeper: () => this.keeper,
-      desk: this.desk,
+      backendManager: () => this.keeper,
+      handoverCoordinator: this.desk,
       random: this.ports.random,
       onWritten: (service, record) => this.tellOwnership(service, record),
-      onPlanned: (daemon, moves) => this.tellExpected(daemon, moves),
-      onReadWanted: (reader, question) => this.askRead(reader, question),
+      onMovesPlanned: (daemon, moves) => this.tellExpected(daemon, moves),
+      onSharedReadNeeded: (reader, question) => this.askRead(reader, question),
       onPromiseNeeded: (arbiter, question) =>
         this.gossip.sendDatagram({
           kind: "ask_promise",
@@ -250,8 +251,8 @@
       store: this.store,
       view: this.view,
       logger,
-      onRegistered: (revision) => this.ownership.noteRegistration(revision),
-      onRecord: (record) => this.directory.noteStored(record.key, record),
+      onRegistered: (revision) => this.ownership.onRegistered(revision),
+      onRecord: (record) => this.directory.updateFromStore(record.key, record),
     });
     this.gossip = GossipNode.create({
       address: settings.gossipAddress,
@@ -313,7 +314,7 @@
     });
     this.peerConnections = ServerConnections.create(this.peerServer.server);
     this.heartbeats = createHeartbeatServer({
-      keeper: this.keeper,
+      backendManager: this.keeper,
       protocol: ports.backends,
       logger,
     });
@@ -414,7 +415,7 @@
   private hasDuties(): boolean {
     const requests = this.ingress.busyCount + this.linkServer.activeCount +
       this.peerConnections.busyCount;
-    return requests > 0 || this.ownership.isGivingUp;
+    return requests > 0 || this.ownership.isReleasingKeys;
   }
 
   private async close(): Promise<void> {
@@ -459,7 +460,7 @@
       failureShare: this.backend.failureShare,
       configurationVersion: Math.max(0, this.configuration.version),
       ownershipRevision: this.directory.revision,
-      reachesStore: this.store.isReached,
+      reachesStore: this.store.isReachable,
     };
   }
 
@@ -479,7 +480,7 @@
       case "ownership": {
         const { sender, service, revision, text } = datagram;
         if (text !== undefined) {
-          this.directory.noteText({ service, revision, text });
+          this.directory.updateFromPeer({ service, revision, text });
           return;
         }
         const address = this.view.find(sender)?.forwardAddress;
@@ -489,23 +490,23 @@
         return;
       }
       case "expect":
-        this.desk.noteExpected(
+        this.desk.expectRanges(
           datagram.sender,
           datagram.ranges.map(([from, to, load]) => ({ from, to, load })),
           steadyMs(),
         );
         return;
       case "awaiting":
-        this.desk.noteAwaiting(datagram.sender);
+        this.desk.markAwaiting(datagram.sender);
         return;
       case "ask_promise":
         this.answerPromiseQuestion(datagram);
         return;
       case "ask_read":
-        this.reader.ask(datagram.sender, datagram);
+        this.reader.enqueue(datagram.sender, datagram);
         return;
       case "read":
-        this.ownership.noteShared(datagram);
+        this.ownership.onSharedRead(datagram);
         return;
       case "crash_reports":
       case "cleared":
@@ -531,7 +532,8 @@
     }
     this.isAskingOwnership = true;
     void this.questions.askOwnership(peer).match(
-      (records) => records.forEach((news) => this.directory.noteText(news)),
+      (records) =>
+        records.forEach((news) => this.directory.updateFromPeer(news)),
       (cause) => this.logger.log("peer_question_failed", { peer, cause }),
     ).finally(() => {
       this.isAskingOwnership = false;
@@ -570,19 +572,19 @@
   }
 
   /** Asks the daemon that reads for all owners, which may be the own one. */
-  private askRead(reader: string, question: ReadQuestion): void {
+  private askRead(reader: string, question: SharedReadRequest): void {
     const sender = this.view.ownReport.address;
     if (reader === sender) {
-      this.reader.ask(sender, question);
+      this.reader.enqueue(sender, question);
       return;
     }
     this.gossip.sendDatagram({ kind: "ask_read", sender, ...question }, reader);
   }
 
-  private answerRead(owner: string, answer: ReadAnswer): void {
+  private answerRead(owner: string, answer: SharedReadResponse): void {
     const sender = this.view.ownReport.address;
     if (owner === sender) {
-      this.ownership.noteShared(answer);
+      this.ownership.onSharedRead(answer);
       return;
     }
     this.gossip.sendDatagram({ kind: "read", sender, ...answer }, owner);
@@ -605,7 +607,7 @@
       await this.ownership.beginMoves();
       return;
     }
-    const givers = this.desk.expectedFrom(steadyMs());
+    const givers = this.desk.expectedSenders(steadyMs());
     if (givers.length === 0) {
       return;
     }
@@ -628,7 +630,7 @@
 
   /** The daemon that reads for all sees first that the store went back. */
   private restoreMembers(): void {
-    if (this.ownership.isReader) {
+    if (this.ownership.isSharedReader) {
       void this.members.restoreLost(steadyMs());
     }
   }
@@ -718,7 +720,7 @@
         Math.max(0, this.tenure.untilMs - bootMs()),
       bamboolink_zone_evacuated: () => this.evacuation.isEvacuated ? 1 : 0,
       bamboolink_store_era: () => this.store.era,
-      bamboolink_store_reached: () => this.store.isReached ? 1 : 0,
+      bamboolink_store_reached: () => this.store.isReachable ? 1 : 0,
     };
     Object.entries(gauges).forEach(([name, read]) =>
       this.metrics.gauge(name, read)
--- a/packages/router/src/shared_reader.ts
+++ b/packages/router/src/shared_reader.ts
@@ -15,14 +15,14 @@
 import type { RecordInspector } from "./record_inspector.ts";
 
 /** What an owner asks, and is answered with. */
-export interface ReadQuestion {
+export interface SharedReadRequest {
   readonly service: string;
   /** The owner's clock, in milliseconds; comes back with the answer. */
   readonly askedAtMs: number;
 }
 
 /** What the store held after the question had arrived. */
-export interface ReadAnswer extends ReadQuestion {
+export interface SharedReadResponse extends SharedReadRequest {
   readonly revision: number;
 }
 
@@ -32,7 +32,7 @@
   readonly logger: Logger;
   /** Looks at what was found, which is not told to owners where it is no record. */
   readonly inspector: RecordInspector;
-  readonly onAnswer: (owner: string, answer: ReadAnswer) => void;
+  readonly onResponse: (owner: string, answer: SharedReadResponse) => void;
 }
 
 /** Gathers the questions of owners. */
@@ -48,7 +48,7 @@
   }
 
   /** Takes a question; it is answered if the store can be read. */
-  ask(owner: string, { service, askedAtMs }: ReadQuestion): void {
+  enqueue(owner: string, { service, askedAtMs }: SharedReadRequest): void {
     const known = this.waiting.get(service);
     if (known !== undefined) {
       known.set(owner, askedAtMs);
@@ -76,7 +76,7 @@
     const revision = found.value?.revision;
     if (revision !== undefined) {
       owners.forEach((askedAtMs, owner) =>
-        this.context.onAnswer(owner, { service, askedAtMs, revision })
+        this.context.onResponse(owner, { service, askedAtMs, revision })
       );
     }
   }
--- a/packages/router/src/shared_reader_test.ts
+++ b/packages/router/src/shared_reader_test.ts
@@ -10,7 +10,7 @@
 import { okAsync } from "neverthrow";
 import { OwnershipDirectory } from "./ownership_directory.ts";
 import { RecordInspector } from "./record_inspector.ts";
-import { type ReadAnswer, SharedReader } from "./shared_reader.ts";
+import { SharedReader, type SharedReadResponse } from "./shared_reader.ts";
 
 /** A store that counts reads, each of which finds the next revision and takes a while. */
 function createStore(readMs: number) {
@@ -29,14 +29,14 @@
 }
 
 function createReader(store: Store) {
-  const answers: (ReadAnswer & { owner: string })[] = [];
+  const answers: (SharedReadResponse & { owner: string })[] = [];
   const logger = Logger.createBounded("test", { level: "error" });
   const directory = OwnershipDirectory.create(logger);
   const reader = SharedReader.create({
     store,
     logger,
     inspector: RecordInspector.create({ logger, directory, era: () => 0 }),
-    onAnswer: (owner, answer) => answers.push({ owner, ...answer }),
+    onResponse: (owner, answer) => answers.push({ owner, ...answer }),
   });
   return { reader, answers };
 }
@@ -55,7 +55,10 @@
       Array.from(
         { length: 98 },
         (_, index) =>
-          reader.ask(`owner-${index}`, { service: "rooms", askedAtMs: index }),
+          reader.enqueue(`owner-${index}`, {
+            service: "rooms",
+            askedAtMs: index,
+          }),
       );
       await sleep(GATHERED_MS);
       expect(reads.count).to.equal(1);
@@ -72,11 +75,11 @@
     it("answers with the next read", async () => {
       const { store, reads } = createStore(100);
       const { reader, answers } = createReader(store);
-      reader.ask("early", { service: "rooms", askedAtMs: 1 });
+      reader.enqueue("early", { service: "rooms", askedAtMs: 1 });
       while (reads.count === 0) {
         await sleep(5);
       }
-      reader.ask("late", { service: "rooms", askedAtMs: 2 });
+      reader.enqueue("late", { service: "rooms", askedAtMs: 2 });
       await sleep(GATHERED_MS + 200);
       expect(answers.map(({ owner, revision }) => [owner, revision])).to.deep
         .equal([["early", 1], ["late", 2]]);
