--- a/packages/router/src/backend_manager.ts
+++ b/packages/router/src/backend_manager.ts
@@ -345,7 +345,7 @@
       nowMs: answeredMs,
       processingMs,
     });
-    backend.noteGranted();
+    backend.onKeysGranted();
     return grant.holdMs > 0 ? grant : undefined;
   }
 
@@ -370,7 +370,7 @@
     this.drainingSinceMs = isDraining
       ? Math.min(this.drainingSinceMs, steadyMs())
       : Infinity;
-    backend.identify(
+    backend.updateIdentity(
       last === undefined || phase === "absent" ? undefined : {
         instance: last.instance,
         born: last.born,
@@ -378,7 +378,7 @@
         slots: last.slots,
         phase,
         isKeyed: isKeyed(last.service),
-        handOverUntilMs: this.handOverUntilMs,
+        forwardUntilMs: this.handOverUntilMs,
         coldUntilMs: this.coldUntilMs,
         coldLimit: this.context.coldLimit(last.service),
       },
