--- a/packages/connections/src/caller_connection.ts
+++ b/packages/connections/src/caller_connection.ts
@@ -52,17 +52,17 @@
   }
 
   /** How many requests have not been answered whole yet. */
-  get pendingAnswers(): number {
+  get pendingResponses(): number {
     return this.pending.size;
   }
 
   /** The answer that is written next is the last. */
-  announceEnd(): void {
+  closeAfterNextResponse(): void {
     this.isLast = true;
   }
 
   /** A request has come, and is going to be answered. */
-  noteRequest(incoming: IncomingMessage, response: ServerResponse): void {
+  trackRequest(incoming: IncomingMessage, response: ServerResponse): void {
     const noteRead = () => {
       this.readBytes = this.socket.bytesRead;
     };
--- a/packages/connections/src/server_connections.ts
+++ b/packages/connections/src/server_connections.ts
@@ -24,7 +24,7 @@
   /** What the parser found wrong. */
   readonly code: string;
   /** How many requests before it on its connection are under way. */
-  readonly pendingAnswers: number;
+  readonly pendingResponses: number;
 }
 
 /** What is told of connections. */
@@ -74,7 +74,7 @@
    * Whether a request came behind the last answer of its connection, so that it must not be run: nobody could be told.
    * Its body is read and dropped: with unread bytes the connection would be reset, and the last answer cut.
    */
-  passesOver(incoming: IncomingMessage): boolean {
+  discardAfterLastResponse(incoming: IncomingMessage): boolean {
     const isEnding = this.connections.get(incoming.socket)?.isEnding === true;
     if (isEnding) {
       incoming.resume();
@@ -83,8 +83,8 @@
   }
 
   /** The answer that is written next on a connection is its last. */
-  announceEnd(socket: Socket): void {
-    this.connections.get(socket)?.announceEnd();
+  closeAfterNextResponse(socket: Socket): void {
+    this.connections.get(socket)?.closeAfterNextResponse();
   }
 
   /** Takes no new connections; `close` of an HTTP server would cut those whose answers have not left. */
@@ -119,10 +119,10 @@
       return;
     }
     const { code = error.message } = error;
-    const { pendingAnswers } = connection;
+    const { pendingResponses } = connection;
     const status = UNREADABLE_STATUSES[code] ?? BAD_REQUEST;
     if (connection.rejectUnreadable(status)) {
-      this.listeners.onUnreadable?.({ code, pendingAnswers });
+      this.listeners.onUnreadable?.({ code, pendingResponses });
     }
   }
 
@@ -132,7 +132,7 @@
   ): void {
     const connection = this.connections.get(incoming.socket);
     if (connection?.isEnding === false) {
-      connection.noteRequest(incoming, response);
+      connection.trackRequest(incoming, response);
     }
   }
 }
--- a/packages/connections/src/server_connections_test.ts
+++ b/packages/connections/src/server_connections_test.ts
@@ -132,10 +132,10 @@
     // closed 1 s later with the rest of the body unread, and that reset dropped 804 of 1,000 kB of the answer.
     it("deliver all of the answer", async () => {
       handle = (incoming, response) => {
-        if (connections.passesOver(incoming)) {
+        if (connections.discardAfterLastResponse(incoming)) {
           return;
         }
-        connections.announceEnd(incoming.socket);
+        connections.closeAfterNextResponse(incoming.socket);
         response.writeHead(200, {
           "content-length": ANSWER_BYTES,
           connection: "close",
@@ -207,7 +207,7 @@
     it("leave it unread", async () => {
       const taken: ServerResponse[] = [];
       handle = (incoming, response) => {
-        if (connections.passesOver(incoming)) {
+        if (connections.discardAfterLastResponse(incoming)) {
           return;
         }
         taken.push(response);
@@ -233,7 +233,7 @@
     // answered. Node.js itself counts a connection as idle only once it has brought a request.
     it("have their request answered", async () => {
       handle = (incoming, response) => {
-        if (!connections.passesOver(incoming)) {
+        if (!connections.discardAfterLastResponse(incoming)) {
           response.end("done");
         }
       };
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -173,7 +173,7 @@
       headersTimeout: HEADERS_TIMEOUT_MS,
       keepAliveTimeout: KEEP_ALIVE_MS,
     }, (incoming, response) => {
-      if (this.connections.passesOver(incoming)) {
+      if (this.connections.discardAfterLastResponse(incoming)) {
         return;
       }
       this.lastRequestMs = monotonicMs();
--- a/packages/quarantine/src/choose_probation.ts
+++ b/packages/quarantine/src/choose_probation_daemon.ts
@@ -9,7 +9,7 @@
  * Chooses one of some daemons for a request; all daemons that know the same ones choose the same. Without this, copies of
  * a lethal request that come at the same time would each end a server before the first end is known.
  */
-export function chooseProbation(
+export function chooseProbationDaemon(
   fingerprint: string,
   addresses: readonly string[],
 ): string | undefined {
--- a/packages/quarantine/src/lost_runs.ts
+++ b/packages/quarantine/src/lost_runs.ts
@@ -21,7 +21,7 @@
   /** Whether it ran as the only one under suspicion there. */
   readonly isOnProbation: boolean;
   /** When the connection broke, on the daemon's clock. */
-  readonly atMs: number;
+  readonly lostAtMs: number;
 }
 
 /**
@@ -40,22 +40,24 @@
   }
 
   /** Notes a run whose connection broke. */
-  noteLost(run: LostRun): void {
+  recordLost(run: LostRun): void {
     this.runs = [...this.runs, run].slice(-MAX_RUNS);
   }
 
   /** Notes an answer: the server has outlived the runs that were lost well before. */
-  noteAnswered(nowMs: number): void {
-    this.runs = this.runs.filter(({ atMs }) => nowMs - atMs <= TOGETHER_MS);
+  recordAnswered(nowMs: number): void {
+    this.runs = this.runs.filter(({ lostAtMs }) =>
+      nowMs - lostAtMs <= TOGETHER_MS
+    );
   }
 
   /** The server has ended: returns what it ran then, and forgets all. */
-  takeEnded(nowMs: number): readonly LostRun[] {
+  takeRunsAtCrash(nowMs: number): readonly LostRun[] {
     const { runs } = this;
-    const lastMs = runs.at(-1)?.atMs ?? -Infinity;
+    const lastMs = runs.at(-1)?.lostAtMs ?? -Infinity;
     this.runs = [];
     return nowMs - lastMs > PROOF_MS
       ? []
-      : runs.filter(({ atMs }) => lastMs - atMs <= TOGETHER_MS);
+      : runs.filter(({ lostAtMs }) => lastMs - lostAtMs <= TOGETHER_MS);
   }
 }
--- a/packages/quarantine/src/lost_runs_test.ts
+++ b/packages/quarantine/src/lost_runs_test.ts
@@ -11,7 +11,7 @@
   requestId,
   fingerprint: `f-${requestId}`,
   isOnProbation: false,
-  atMs,
+  lostAtMs: atMs,
 });
 const idsOf = (runs: readonly { requestId: string }[]) =>
   runs.map(({ requestId }) => requestId);
@@ -19,31 +19,31 @@
 describe("LostRuns", () => {
   it("returns the runs that were lost together last", () => {
     const lost = LostRuns.create();
-    lost.noteLost(lose("reset", 1_000));
-    lost.noteLost(lose("a", 5_000));
-    lost.noteLost(lose("b", 5_004));
-    expect(idsOf(lost.takeEnded(5_200))).to.deep.equal(["a", "b"]);
-    expect(lost.takeEnded(5_300)).to.deep.equal([]);
+    lost.recordLost(lose("reset", 1_000));
+    lost.recordLost(lose("a", 5_000));
+    lost.recordLost(lose("b", 5_004));
+    expect(idsOf(lost.takeRunsAtCrash(5_200))).to.deep.equal(["a", "b"]);
+    expect(lost.takeRunsAtCrash(5_300)).to.deep.equal([]);
   });
 
   it("leaves out a run that the server has outlived", () => {
     const lost = LostRuns.create();
-    lost.noteLost(lose("broken_off", 1_000));
-    lost.noteAnswered(1_150);
-    expect(lost.takeEnded(2_000)).to.deep.equal([]);
+    lost.recordLost(lose("broken_off", 1_000));
+    lost.recordAnswered(1_150);
+    expect(lost.takeRunsAtCrash(2_000)).to.deep.equal([]);
   });
 
   it("keeps runs beside which an answer came that was sent before the end", () => {
     const lost = LostRuns.create();
-    lost.noteLost(lose("a", 1_000));
-    lost.noteAnswered(1_002);
-    expect(idsOf(lost.takeEnded(1_300))).to.deep.equal(["a"]);
+    lost.recordLost(lose("a", 1_000));
+    lost.recordAnswered(1_002);
+    expect(idsOf(lost.takeRunsAtCrash(1_300))).to.deep.equal(["a"]);
   });
 
   it("does not blame a run that was lost long before the end", () => {
     const lost = LostRuns.create();
-    lost.noteLost(lose("a", 1_000));
-    expect(lost.takeEnded(60_000)).to.deep.equal([]);
+    lost.recordLost(lose("a", 1_000));
+    expect(lost.takeRunsAtCrash(60_000)).to.deep.equal([]);
   });
 });
 
--- a/packages/quarantine/src/mod.ts
+++ b/packages/quarantine/src/mod.ts
@@ -3,10 +3,10 @@
  *
  * @module
  */
-export { chooseProbation } from "./choose_probation.ts";
+export { chooseProbationDaemon } from "./choose_probation_daemon.ts";
 export { type LostRun, LostRuns } from "./lost_runs.ts";
-export { ProbationLane } from "./probation_lane.ts";
-export { RecentAnswers } from "./recent_answers.ts";
+export { ProbationQueue } from "./probation_queue.ts";
+export { RecentResponses } from "./recent_responses.ts";
 export {
   fingerprintRequest,
   type RequestContent,
@@ -15,6 +15,6 @@
   type CrashOutcome,
   type CrashReport,
   PoisonRequestTracker,
+  type RequestClassification,
   type ServerCrash,
-  type Standing,
 } from "./poison_request_tracker.ts";
--- a/packages/quarantine/src/poison_request_tracker.ts
+++ b/packages/quarantine/src/poison_request_tracker.ts
@@ -13,7 +13,7 @@
 import type { LostRun } from "./lost_runs.ts";
 
 /** How a request may be run. */
-export type Standing =
+export type RequestClassification =
   /** As any other. */
   | { readonly kind: "clear" }
   /** With no other suspect beside it on the same server. */
@@ -77,8 +77,8 @@
   readonly forgetAtMs: number;
 }
 
-const CLEAR: Standing = { kind: "clear" };
-const SUSPECT: Standing = { kind: "suspect" };
+const CLEAR: RequestClassification = { kind: "clear" };
+const SUSPECT: RequestClassification = { kind: "suspect" };
 
 /** The suspects and quarantined requests that one daemon knows. */
 export class PoisonRequestTracker {
@@ -105,12 +105,12 @@
   /** How many requests are quarantined. */
   countQuarantined(nowMs: number): number {
     return [...this.entries.keys()].filter((fingerprint) =>
-      this.judge(fingerprint, nowMs).kind === "quarantined"
+      this.classify(fingerprint, nowMs).kind === "quarantined"
     ).length;
   }
 
   /** How a request may be run. */
-  judge(fingerprint: string, nowMs: number): Standing {
+  classify(fingerprint: string, nowMs: number): RequestClassification {
     const entry = this.find(fingerprint, nowMs);
     if (entry === undefined) {
       return CLEAR;
@@ -156,24 +156,26 @@
   recordReports(
     reports: readonly CrashReport[],
     nowMs: number,
-  ): { news: readonly CrashReport[]; cleared: readonly string[] } {
+  ): { newReports: readonly CrashReport[]; cleared: readonly string[] } {
     const [cleared, standing] = [true, false].map((isCleared) =>
       reports.filter(({ fingerprint }) =>
         this.isCleared(fingerprint, nowMs) === isCleared
       )
     );
-    const news = standing!.filter((report) => this.addReport(report, nowMs));
-    news.map(({ fingerprint }) => fingerprint)
+    const newReports = standing!.filter((report) =>
+      this.addReport(report, nowMs)
+    );
+    newReports.map(({ fingerprint }) => fingerprint)
       .filter((fingerprint) => this.isAloneAtCrashes(fingerprint))
       .forEach((fingerprint) => this.quarantine(fingerprint, nowMs));
     return {
-      news,
+      newReports,
       cleared: cleared!.map(({ fingerprint }) => fingerprint),
     };
   }
 
   /** Records that a server has answered a request; returns whether it was a suspect. */
-  recordAnswer(fingerprint: string, nowMs: number): boolean {
+  recordResponse(fingerprint: string, nowMs: number): boolean {
     this.remember(this.answers, fingerprint, nowMs);
     return this.entries.delete(fingerprint);
   }
--- a/packages/quarantine/src/poison_request_tracker_test.ts
+++ b/packages/quarantine/src/poison_request_tracker_test.ts
@@ -5,9 +5,9 @@
  */
 import { expect } from "chai";
 import fc from "fast-check";
-import { chooseProbation } from "./choose_probation.ts";
+import { chooseProbationDaemon } from "./choose_probation_daemon.ts";
 import type { LostRun } from "./lost_runs.ts";
-import { ProbationLane } from "./probation_lane.ts";
+import { ProbationQueue } from "./probation_queue.ts";
 import { PoisonRequestTracker } from "./poison_request_tracker.ts";
 
 const SEED = 20_261_203;
@@ -18,7 +18,7 @@
   requestId: `id-${fingerprint}`,
   fingerprint,
   isOnProbation,
-  atMs: 0,
+  lostAtMs: 0,
 });
 
 /** The end of a server, with a name of its own. */
@@ -36,7 +36,8 @@
   tracker: PoisonRequestTracker,
   names: string[],
   nowMs: number,
-) => names.filter((name) => tracker.judge(name, nowMs).kind === "quarantined");
+) =>
+  names.filter((name) => tracker.classify(name, nowMs).kind === "quarantined");
 
 describe("PoisonRequestTracker", () => {
   describe("when one server ends", () => {
@@ -49,8 +50,8 @@
         { fingerprint: "lethal", ...told },
         { fingerprint: "beside", ...told },
       ]);
-      expect(tracker.judge("lethal", 1).kind).to.equal("suspect");
-      expect(tracker.judge("other", 1).kind).to.equal("clear");
+      expect(tracker.classify("lethal", 1).kind).to.equal("suspect");
+      expect(tracker.classify("other", 1).kind).to.equal("clear");
     });
   });
 
@@ -72,9 +73,9 @@
         quarantines: 0,
         remainingMs: 0,
       };
-      expect(tracker.recordReports([late], 200).news).to.have.length(1);
+      expect(tracker.recordReports([late], 200).newReports).to.have.length(1);
       expect(tracker.findQuarantines(200)[0]?.quarantines).to.equal(1);
-      expect(tracker.recordReports([late], 300).news).to.have.length(0);
+      expect(tracker.recordReports([late], 300).newReports).to.have.length(0);
     });
   });
 
@@ -132,7 +133,9 @@
       tracker.recordReports([{ ...told, crashes: [101, 102] }], 0);
       const late = { ...told, quarantines: 0, remainingMs: 0, crashes: [100] };
       tracker.recordReports([late], 2 * SECOND_MS);
-      expect(tracker.judge("lethal", 2 * SECOND_MS).kind).to.equal("suspect");
+      expect(tracker.classify("lethal", 2 * SECOND_MS).kind).to.equal(
+        "suspect",
+      );
     });
 
     // A popular request may be there each time, too, before any server has answered it.
@@ -148,7 +151,7 @@
         }));
       [101, 102, 103].forEach((end) => tracker.recordReports(tell(end), 0));
       expect(quarantinedIn(tracker, names, 1)).to.deep.equal([]);
-      tracker.recordAnswer("popular", 2);
+      tracker.recordResponse("popular", 2);
       tracker.recordCrash(endOf(lose("lethal", true)), 3);
       expect(quarantinedIn(tracker, names, 4)).to.deep.equal(["lethal"]);
     });
@@ -171,7 +174,7 @@
     it("clears it, whatever comes late of its reports", () => {
       const tracker = createTracker();
       tracker.recordCrash(endOf(lose("popular")), 0);
-      expect(tracker.recordAnswer("popular", 50)).to.equal(true);
+      expect(tracker.recordResponse("popular", 50)).to.equal(true);
       const late = {
         fingerprint: "popular",
         crashes: [101, 102, 103],
@@ -182,12 +185,12 @@
         news: [],
         cleared: ["popular"],
       });
-      expect(tracker.judge("popular", 61).kind).to.equal("clear");
+      expect(tracker.classify("popular", 61).kind).to.equal("clear");
     });
 
     it("clears it before the end at which it was lost is known", () => {
       const tracker = createTracker();
-      tracker.recordAnswer("popular", 50);
+      tracker.recordResponse("popular", 50);
       const end = endOf(lose("popular"));
       const { cleared, reports } = tracker.recordCrash(end, 200);
       expect(cleared).to.deep.equal(["popular"]);
@@ -204,14 +207,14 @@
       let nowMs = 0;
       tracker.recordCrash(endOf(lose("lethal", true)), nowMs);
       for (let trial = 0; trial < 4; trial += 1) {
-        const standing = tracker.judge("lethal", nowMs);
+        const standing = tracker.classify("lethal", nowMs);
         expect(standing.kind).to.equal("quarantined");
         const remainingMs = standing.kind === "quarantined"
           ? standing.remainingMs
           : 0;
         lengths.push(remainingMs);
         nowMs += remainingMs + SECOND_MS;
-        expect(tracker.judge("lethal", nowMs).kind).to.equal("suspect");
+        expect(tracker.classify("lethal", nowMs).kind).to.equal("suspect");
         tracker.recordCrash(endOf(lose("lethal", true)), nowMs);
       }
       expect(lengths).to.deep.equal([30_000, 120_000, 480_000, 1_920_000]);
@@ -228,7 +231,7 @@
       const over = draws.map((draw) => {
         const tracker = PoisonRequestTracker.create(() => draw);
         tracker.recordReports([report], 0);
-        const standing = tracker.judge("lethal", 0);
+        const standing = tracker.classify("lethal", 0);
         return standing.kind === "quarantined" ? standing.remainingMs : 0;
       });
       expect(over).to.deep.equal([30_000, 37_500, 44_850]);
@@ -247,7 +250,7 @@
       };
       Array.from({ length: 29 }, (_, index) => (index + 1) * SECOND_MS)
         .forEach((nowMs) => tracker.recordReports([told], nowMs));
-      expect(tracker.judge("lethal", 30_001).kind).to.equal("suspect");
+      expect(tracker.classify("lethal", 30_001).kind).to.equal("suspect");
     });
   });
 
@@ -257,8 +260,10 @@
       tracker.recordCrash(endOf(lose("beside")), 0);
       tracker.recordCrash(endOf(lose("lethal", true)), 0);
       tracker.prune(2 * MINUTE_MS);
-      expect(tracker.judge("lethal", 2 * MINUTE_MS).kind).to.equal("suspect");
-      expect(tracker.judge("beside", 2 * MINUTE_MS).kind).to.equal("clear");
+      expect(tracker.classify("lethal", 2 * MINUTE_MS).kind).to.equal(
+        "suspect",
+      );
+      expect(tracker.classify("beside", 2 * MINUTE_MS).kind).to.equal("clear");
       tracker.prune(10 * MINUTE_MS);
       expect(tracker.isEmpty).to.equal(true);
     });
@@ -290,7 +295,7 @@
             const tracker = createTracker();
             sequence.forEach((item) =>
               item === "answer"
-                ? tracker.recordAnswer("x", 0)
+                ? tracker.recordResponse("x", 0)
                 : tracker.recordReports(
                   [{ fingerprint: "x", remainingMs: 30_000, ...item }],
                   0,
@@ -298,7 +303,9 @@
             );
             return tracker;
           });
-          expect(one!.judge("x", 1).kind).to.equal(other!.judge("x", 1).kind);
+          expect(one!.classify("x", 1).kind).to.equal(
+            other!.classify("x", 1).kind,
+          );
           const [mine, theirs] = [one!, other!].map((tracker) =>
             tracker.findQuarantines(1).map((
               { crashes, quarantines, remainingMs },
@@ -318,7 +325,7 @@
 
 describe("ProbationLane", () => {
   it("lets one run at a time, in the order in which they came", () => {
-    const lane = ProbationLane.create();
+    const lane = ProbationQueue.create();
     expect(lane.enter(1)).to.equal(true);
     expect(lane.enter(2)).to.equal(false);
     expect(lane.enter(3)).to.equal(false);
@@ -334,19 +341,19 @@
 
   it("chooses the same daemon in any order of them", () => {
     const backwards = [...addresses].reverse();
-    expect(chooseProbation("lethal", addresses))
-      .to.equal(chooseProbation("lethal", backwards));
+    expect(chooseProbationDaemon("lethal", addresses))
+      .to.equal(chooseProbationDaemon("lethal", backwards));
   });
 
   it("uses all daemons for different requests", () => {
     const chosen = Array.from(
       { length: 60 },
-      (_, index) => chooseProbation(`request-${index}`, addresses),
+      (_, index) => chooseProbationDaemon(`request-${index}`, addresses),
     );
     expect(new Set(chosen).size).to.equal(addresses.length);
   });
 
   it("chooses nobody where there is nobody", () => {
-    expect(chooseProbation("lethal", [])).to.equal(undefined);
+    expect(chooseProbationDaemon("lethal", [])).to.equal(undefined);
   });
 });
--- a/packages/quarantine/src/probation_lane.ts
+++ b/packages/quarantine/src/probation_queue.ts
@@ -8,15 +8,15 @@
  * The order of the suspects at one server. When a server ends, what it ran is suspected together, and is sent to the
  * same few servers again; run side by side there, all would be blamed for the next end.
  */
-export class ProbationLane {
+export class ProbationQueue {
   private current: number | undefined;
   private waiting: number[] = [];
 
   private constructor() {}
 
   /** Creates a lane that nobody is in. */
-  static create(): ProbationLane {
-    return new ProbationLane();
+  static create(): ProbationQueue {
+    return new ProbationQueue();
   }
 
   /** How many are before one that comes now. */
--- a/packages/quarantine/src/recent_answers.ts
+++ b/packages/quarantine/src/recent_responses.ts
@@ -20,19 +20,19 @@
  * Requests are named only when a server has ended. To name each costs a hash, which thousands of requests a second would
  * pay for an event of once a day.
  */
-export class RecentAnswers {
+export class RecentResponses {
   private contents: RequestContent[] = [];
   private at = 0;
 
   private constructor() {}
 
   /** Creates an empty memory. */
-  static create(): RecentAnswers {
-    return new RecentAnswers();
+  static create(): RecentResponses {
+    return new RecentResponses();
   }
 
   /** Notes an answered request. */
-  note(content: RequestContent): void {
+  record(content: RequestContent): void {
     if ((content.body?.length ?? 0) <= LARGEST_BODY_BYTES) {
       this.contents[this.at] = content;
       this.at = (this.at + 1) % COUNT;
@@ -40,7 +40,7 @@
   }
 
   /** The process has ended: names what it had answered, and forgets it. */
-  takeAll(): ReadonlySet<string> {
+  takeFingerprints(): ReadonlySet<string> {
     const { contents } = this;
     this.contents = [];
     this.at = 0;
--- a/packages/router/src/connection_pool.ts
+++ b/packages/router/src/connection_pool.ts
@@ -25,9 +25,9 @@
    *
    * @param reuse how long a connection may have been idle; older ones are closed.
    */
-  take(reuse: { nowMs: number; longestIdleMs: number }): Connection {
+  acquire(reuse: { nowMs: number; maxIdleMs: number }): Connection {
     const isFresh = (connection: Connection) =>
-      reuse.nowMs - connection.lastUsedMs <= reuse.longestIdleMs;
+      reuse.nowMs - connection.lastUsedAtMs <= reuse.maxIdleMs;
     const last = this.idle.at(-1);
     if (last !== undefined && isFresh(last)) {
       this.idle.pop();
@@ -40,7 +40,7 @@
   }
 
   /** Gives a connection back for reuse. */
-  give(connection: Connection): void {
+  release(connection: Connection): void {
     this.busy.delete(connection);
     this.idle.push(connection);
   }
@@ -52,9 +52,9 @@
   }
 
   /** Closes connections that were idle for longer than is reused. */
-  prune(reuse: { nowMs: number; longestIdleMs: number }): void {
+  prune(reuse: { nowMs: number; maxIdleMs: number }): void {
     const old = this.idle.filter((connection) =>
-      reuse.nowMs - connection.lastUsedMs > reuse.longestIdleMs
+      reuse.nowMs - connection.lastUsedAtMs > reuse.maxIdleMs
     );
     this.idle = this.idle.filter((connection) => !old.includes(connection));
     old.forEach((connection) => void connection.destroy());
--- a/packages/router/src/decoders_test.ts
+++ b/packages/router/src/decoders_test.ts
@@ -15,7 +15,7 @@
 import { decodeDatagram, encodeDatagram } from "./datagram_codec.ts";
 import {
   decodeOutcome,
-  decodeWork,
+  decodeRequest,
   encodeFrame,
   FRAME_KINDS,
   FrameReader,
@@ -137,7 +137,7 @@
       check(bytes, (spoiled) => {
         try {
           FrameReader.create().push(spoiled).forEach((frame) => {
-            decodeWork(frame, 0);
+            decodeRequest(frame, 0);
             decodeOutcome(frame);
           });
         } catch (cause) {
--- a/packages/router/src/exchange.ts
+++ b/packages/router/src/exchange.ts
@@ -24,7 +24,7 @@
 }
 
 /** Headers of an answer, names in lower case. */
-export type AnswerHeaders = Readonly<
+export type ResponseHeaders = Readonly<
   Record<string, string | string[] | undefined>
 >;
 
@@ -33,7 +33,7 @@
   | {
     readonly kind: "answer";
     readonly status: number;
-    readonly headers: AnswerHeaders;
+    readonly headers: ResponseHeaders;
     readonly body: Buffer;
     /**
      * Whether the answer itself said where it ends. One that ends with its connection may have been cut
@@ -88,7 +88,7 @@
   }
 
   /** When the last request ended. */
-  get lastUsedMs(): number {
+  get lastUsedAtMs(): number {
     return this.usedAtMs;
   }
 
@@ -147,7 +147,7 @@
   private isSent = false;
   private isDone = false;
   private status = 0;
-  private headers: AnswerHeaders = {};
+  private headers: ResponseHeaders = {};
   private readonly chunks: Buffer[] = [];
 
   private constructor(
@@ -170,7 +170,7 @@
   onResponseStart(
     _controller: Controller,
     status: number,
-    headers: AnswerHeaders,
+    headers: ResponseHeaders,
   ): void {
     if (status >= FIRST_FINAL_STATUS) {
       this.status = status;
@@ -237,7 +237,7 @@
  * connection, for the whole answer, and a caller gets half an answer that looks complete. Only an answer
  * without any framing ends with its connection, and only in good order.
  */
-function isWhole(headers: AnswerHeaders, end: ConnectionEnd): boolean {
+function isWhole(headers: ResponseHeaders, end: ConnectionEnd): boolean {
   switch (end.state) {
     case "open":
       return true;
--- a/packages/router/src/forwarder.ts
+++ b/packages/router/src/forwarder.ts
@@ -74,7 +74,7 @@
           this.context.onLoad(daemon, work.route, load);
           finish(outcome);
         },
-        onSilent: () => {
+        onUnresponsive: () => {
           if (mayGiveUp()) {
             lose(link.cancel(id));
           }
@@ -115,23 +115,25 @@
   ): void {
     const { daemon, nowMs } = at;
     if (link.isIdle) {
-      if (!link.isUsable || nowMs - link.lastUsedMs > IDLE_MS) {
+      if (!link.isUsable || nowMs - link.lastUsedAtMs > IDLE_MS) {
         this.links.delete(daemon);
         link.close();
       }
       return;
     }
     const silent = this.findSilent(link, nowMs);
-    if (silent.some(({ sentAtMs }) => link.lastHeardMs < sentAtMs)) {
+    if (silent.some(({ sentAtMs }) => link.lastReceivedAtMs < sentAtMs)) {
       // The connection may be dead while new ones work; what is under way on it stays there.
       this.links.delete(daemon);
       this.retired.push(link);
     }
-    silent.forEach(({ listener }) => listener.onSilent());
+    silent.forEach(({ listener }) => listener.onUnresponsive());
   }
 
   private giveUpSilent(link: LinkClient, nowMs: number): void {
-    this.findSilent(link, nowMs).forEach(({ listener }) => listener.onSilent());
+    this.findSilent(link, nowMs).forEach(({ listener }) =>
+      listener.onUnresponsive()
+    );
   }
 
   /** Requests that should have been acknowledged long ago. */
--- a/packages/router/src/http_headers.ts
+++ b/packages/router/src/http_headers.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { AnswerHeaders } from "./exchange.ts";
+import type { ResponseHeaders } from "./exchange.ts";
 
 /** Headers that concern one connection only (RFC 9110, section 7.6.1), and the framing of the body. */
 const CONNECTION_HEADERS = new Set([
@@ -35,7 +35,7 @@
 
 /** Selects the headers of an answer that pass through. */
 export function selectAnswerHeaders(
-  headers: AnswerHeaders,
+  headers: ResponseHeaders,
 ): Record<string, string | string[]> {
   const { connection } = headers;
   const named = connection === undefined ? [] : splitList(String(connection));
--- a/packages/router/src/ingress.ts
+++ b/packages/router/src/ingress.ts
@@ -162,7 +162,7 @@
     response: ServerResponse,
   ): Promise<void> {
     const { socket } = incoming;
-    if (this.connections.passesOver(incoming)) {
+    if (this.connections.discardAfterLastResponse(incoming)) {
       return;
     }
     let route: string | undefined;
@@ -257,11 +257,11 @@
     this.refuse(response, outcome, request);
   }
 
-  private noteUnreadable({ code, pendingAnswers }: UnreadableInput): void {
+  private noteUnreadable({ code, pendingResponses }: UnreadableInput): void {
     const { logger, metrics } = this.context;
     logger.log("caller_bytes_unreadable", {
       code,
-      pending_answers: pendingAnswers,
+      pending_answers: pendingResponses,
     });
     metrics.count("bamboolink_rejected_requests", { reason: "unreadable" });
   }
@@ -528,7 +528,7 @@
     if (!answer.isFramed) {
       // The caller must not take for whole what may have been cut: it ends with the connection here, too.
       const { socket } = response.req;
-      this.connections.announceEnd(socket);
+      this.connections.closeAfterNextResponse(socket);
       this.endings.set(socket, this.places.get(response) ?? 0);
       response.useChunkedEncodingByDefault = false;
       response.shouldKeepAlive = false;
@@ -572,7 +572,7 @@
     if (!this.isStopping || !this.order.isLast(socket, place)) {
       return {};
     }
-    this.connections.announceEnd(socket);
+    this.connections.closeAfterNextResponse(socket);
     return { connection: "close" };
   }
 }
--- a/packages/router/src/link_client.ts
+++ b/packages/router/src/link_client.ts
@@ -9,7 +9,7 @@
 import {
   decodeOutcome,
   encodeFrame,
-  encodeWork,
+  encodeRequest,
   type Frame,
   FRAME_KINDS,
   type LoadReport,
@@ -25,7 +25,7 @@
   readonly onAcknowledged: () => void;
   readonly onOutcome: (outcome: Outcome, load: LoadReport) => void;
   /** The other daemon has said nothing for longer than is usual. */
-  readonly onSilent: () => void;
+  readonly onUnresponsive: () => void;
   /** No outcome will come. `isSent`: the other daemon may have the request. */
   readonly onLost: (isSent: boolean, cause: BamboolinkError) => void;
 }
@@ -37,7 +37,7 @@
   readonly listener: LinkListener;
   isAcknowledged: boolean;
   /** What has come of a large answer. */
-  readonly pieces: Buffer[];
+  readonly chunks: Buffer[];
 }
 
 /** A connection that carries many requests at a time. */
@@ -90,12 +90,12 @@
   }
 
   /** When a request was last sent. */
-  get lastUsedMs(): number {
+  get lastUsedAtMs(): number {
     return this.usedAtMs;
   }
 
   /** When anything last came from the other daemon. */
-  get lastHeardMs(): number {
+  get lastReceivedAtMs(): number {
     return this.heardMs;
   }
 
@@ -117,9 +117,9 @@
       sentAtMs,
       listener,
       isAcknowledged: false,
-      pieces: [],
+      chunks: [],
     });
-    const bytes = encodeWork(id, work, sentAtMs);
+    const bytes = encodeRequest(id, work, sentAtMs);
     if (this.isOpen) {
       this.frames.write(bytes);
     } else {
@@ -170,13 +170,13 @@
       request.listener.onAcknowledged();
     }
     if (frame.kind === FRAME_KINDS.piece) {
-      request.pieces.push(frame.body);
+      request.chunks.push(frame.body);
     }
     if (frame.kind === FRAME_KINDS.outcome) {
       this.requests.delete(frame.id);
-      const body = request.pieces.length === 0
+      const body = request.chunks.length === 0
         ? frame.body
-        : Buffer.concat([...request.pieces, frame.body]);
+        : Buffer.concat([...request.chunks, frame.body]);
       const { outcome, load } = decodeOutcome({ ...frame, body });
       request.listener.onOutcome(outcome, load);
     }
--- a/packages/router/src/link_codec.ts
+++ b/packages/router/src/link_codec.ts
@@ -9,7 +9,7 @@
  */
 import { BamboolinkError } from "@bamboolink/errors";
 import { z } from "zod";
-import type { AnswerHeaders } from "./exchange.ts";
+import type { ResponseHeaders } from "./exchange.ts";
 import type { Outcome, RefusalReason, UnknownReason, Work } from "./work.ts";
 
 /** What a frame says. */
@@ -51,7 +51,7 @@
 export const GreetingHead = z.tuple([z.literal(LINK_FORMAT)]);
 
 /** The head of a request. */
-export const WorkHead = z.tuple([
+export const RequestHead = z.tuple([
   z.string().describe("id"),
   z.string().describe("service"),
   z.string().describe("route"),
@@ -195,8 +195,8 @@
 }
 
 /** Makes the frame that carries a request to another daemon. */
-export function encodeWork(id: number, work: Work, nowMs: number): Buffer {
-  const head: z.infer<typeof WorkHead> = [
+export function encodeRequest(id: number, work: Work, nowMs: number): Buffer {
+  const head: z.infer<typeof RequestHead> = [
     work.id,
     work.service,
     work.route,
@@ -223,10 +223,10 @@
  * far as a truncated one would be noticed: a whole check by the schema costs as much as the rest of the
  * decoding. The tests hold all that is written against the schema.
  */
-export function decodeWork(frame: Frame, nowMs: number): Work {
-  const fields = asList<z.infer<typeof WorkHead>>(
+export function decodeRequest(frame: Frame, nowMs: number): Work {
+  const fields = asList<z.infer<typeof RequestHead>>(
     frame.head,
-    WorkHead.def.items.length,
+    RequestHead.def.items.length,
   );
   return {
     id: fields[0],
@@ -303,7 +303,7 @@
   const [kind, reason, waitMs, flag, status, headers] = fields;
   switch (kind) {
     case "answer": {
-      const answered: AnswerHeaders = headers;
+      const answered: ResponseHeaders = headers;
       return { kind, status, headers: answered, body, isFramed: flag };
     }
     case "not_run": {
--- a/packages/router/src/link_server.ts
+++ b/packages/router/src/link_server.ts
@@ -6,11 +6,11 @@
 import { createServer, type Server, type Socket } from "node:net";
 import type { LinkDelay } from "@bamboolink/admission";
 import type { Logger } from "@bamboolink/logger";
-import type { AnswerSender } from "./answer_sender.ts";
+import type { ResponseSender } from "./response_sender.ts";
 import { Cancellation } from "./cancellation.ts";
 import { FrameSocket } from "./frame_socket.ts";
 import {
-  decodeWork,
+  decodeRequest,
   encodeFrame,
   type Frame,
   FRAME_KINDS,
@@ -35,7 +35,7 @@
 export interface LinkServerContext {
   readonly logger: Logger;
   readonly backend: Pick<LocalBackend, "attempt" | "reportOn">;
-  readonly answers: AnswerSender;
+  readonly responses: ResponseSender;
   readonly lag: LoopLag;
   readonly nowMs: () => number;
 }
@@ -82,7 +82,7 @@
         sum + running.size + (frames.hasUnsent ? 1 : 0),
       0,
     );
-    return underWay + this.context.answers.waitingCount;
+    return underWay + this.context.responses.waitingCount;
   }
 
   /** From now on no request is taken any more. */
@@ -138,7 +138,7 @@
       onFrame: (frame) => this.take(link, frame),
       onEnd: (cause) => {
         this.links.delete(link);
-        this.context.answers.drop(frames);
+        this.context.responses.drop(frames);
         running.forEach(({ cancellation }) => cancellation.cancel("cancelled"));
         running.clear();
         this.context.logger.log("link_ended", { peer, cause });
@@ -151,7 +151,7 @@
   private take(link: Link, frame: Frame): void {
     if (frame.kind === FRAME_KINDS.cancellation) {
       link.running.get(frame.id)?.cancellation.cancel("cancelled");
-      this.context.answers.cancel(link.frames, frame.id);
+      this.context.responses.cancel(link.frames, frame.id);
       return;
     }
     if (frame.kind !== FRAME_KINDS.request || this.hasSaidFarewell) {
@@ -159,7 +159,7 @@
     }
     const { nowMs, lag } = this.context;
     const arrivedMs = nowMs();
-    const work = decodeWork(frame, arrivedMs - lag.currentMs);
+    const work = decodeRequest(frame, arrivedMs - lag.currentMs);
     const cancellation = Cancellation.create();
     const running = { work, cancellation, arrivedMs, isAcknowledged: false };
     link.running.set(frame.id, running);
@@ -172,26 +172,27 @@
     id: number,
     { work, cancellation }: Running,
   ): Promise<void> {
-    const { backend, answers, lag, logger } = this.context;
+    const { backend, responses, lag, logger } = this.context;
     const { route, objectiveAtMs } = work;
     await lag.catchUp({ isFirst: false });
-    const leaving = leaveTime(work, answers.expect(route), {
+    const leaving = leaveTime(work, responses.estimateDelay(route), {
       nowMs: this.context.nowMs(),
       serviceMs: backend.reportOn(route).serviceMs,
     });
-    answers.noteRunning(route, 1);
+    responses.adjustRunning(route, 1);
     const outcome = await this.run(leaving, cancellation)
       .catch((cause) => {
         logger.log("unexpected_error", { step: "link_server", cause });
         return { kind: "unknown", reason: "connection_lost" } as const;
       });
-    answers.noteRunning(route, -1);
+    responses.adjustRunning(route, -1);
     if (link.running.delete(id) && cancellation.reason !== "cancelled") {
       const { frames } = link;
       const load = backend.reportOn(route);
       // Whoever chooses among servers chooses among the links to them, too.
-      const serviceMs = load.serviceMs + answers.expect(route).inTimeMs;
-      answers.send(
+      const serviceMs = load.serviceMs +
+        responses.estimateDelay(route).inTimeMs;
+      responses.send(
         { frames, id, route, objectiveAtMs },
         outcome,
         { ...load, serviceMs },
--- a/packages/router/src/link_server_test.ts
+++ b/packages/router/src/link_server_test.ts
@@ -7,10 +7,10 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "chai";
 import { Logger } from "@bamboolink/logger";
-import { AnswerSender } from "./answer_sender.ts";
+import { ResponseSender } from "./response_sender.ts";
 import {
   encodeFrame,
-  encodeWork,
+  encodeRequest,
   FRAME_KINDS,
   LINK_FORMAT,
 } from "./link_codec.ts";
@@ -32,7 +32,7 @@
       attempt: () => Promise.resolve(answer),
       reportOn: () => LOAD,
     },
-    answers: AnswerSender.create(Infinity, nowMs),
+    responses: ResponseSender.create(Infinity, nowMs),
     lag: LoopLag.create(TICK_MS, nowMs),
     nowMs,
   });
@@ -50,7 +50,7 @@
   socket.pause();
   const { greeting: kind } = FRAME_KINDS;
   socket.write(encodeFrame({ kind, id: 0, head: [LINK_FORMAT] }));
-  socket.write(encodeWork(1, WORK, performance.now()));
+  socket.write(encodeRequest(1, WORK, performance.now()));
   return socket;
 }
 
--- a/packages/router/src/link_test.ts
+++ b/packages/router/src/link_test.ts
@@ -13,16 +13,16 @@
 import { Forwarder } from "./forwarder.ts";
 import {
   decodeOutcome,
-  decodeWork,
+  decodeRequest,
   encodeFrame,
   encodeOutcome,
-  encodeWork,
+  encodeRequest,
   type Frame,
   FRAME_KINDS,
   FrameReader,
   LINK_FORMAT,
   OutcomeHead,
-  WorkHead,
+  RequestHead,
 } from "./link_codec.ts";
 import { LinkClient } from "./link_client.ts";
 import { WORK } from "./testing/work.ts";
@@ -139,7 +139,7 @@
   return new Promise((resolve) => {
     link.send(WORK, {
       onAcknowledged: () => undefined,
-      onSilent: () => undefined,
+      onUnresponsive: () => undefined,
       onOutcome: (outcome) => resolve(outcome),
       onLost: (isSent) => resolve(isSent ? "sent" : "unsent"),
     });
@@ -155,12 +155,12 @@
           fc.array(fc.integer({ min: 1, max: 40 }), { minLength: 1 }),
           (works, sizes) => {
             const bytes = Buffer.concat(
-              works.map((each, index) => encodeWork(index, each, 0)),
+              works.map((each, index) => encodeRequest(index, each, 0)),
             );
             const frames = readAll(cut(bytes, sizes));
-            expect(frames.map((frame) => decodeWork(frame, 0)))
+            expect(frames.map((frame) => decodeRequest(frame, 0)))
               .to.deep.equal(works);
-            frames.forEach(({ head }) => WorkHead.parse(head));
+            frames.forEach(({ head }) => RequestHead.parse(head));
           },
         ),
         { seed: SEED },
--- a/packages/router/src/local_backend.ts
+++ b/packages/router/src/local_backend.ts
@@ -214,7 +214,7 @@
     this.apply(this.queue.advance(nowMs));
     this.meter.decay(nowMs);
     this.profile.decay(nowMs);
-    this.connections.prune({ nowMs, longestIdleMs: REUSE_IDEMPOTENT_MS });
+    this.connections.prune({ nowMs, maxIdleMs: REUSE_IDEMPOTENT_MS });
   }
 
   /** The backend server was granted keys: requests that waited for them look again. */
@@ -405,9 +405,9 @@
       this.leaveSlot(slot.id);
       return refused;
     }
-    const connection = this.connections.take({
+    const connection = this.connections.acquire({
       nowMs: startedMs,
-      longestIdleMs: work.isIdempotent ? REUSE_IDEMPOTENT_MS : REUSE_ONCE_MS,
+      maxIdleMs: work.isIdempotent ? REUSE_IDEMPOTENT_MS : REUSE_ONCE_MS,
     });
     const result = await connection.exchange(
       this.describe(work, startedMs),
@@ -489,7 +489,7 @@
       this.context.logger.log("foreign_answer", { request_id: work.id });
       return unknown("foreign_answer");
     }
-    this.connections.give(connection);
+    this.connections.release(connection);
     if (verdict === "answer") {
       return { ...answer, headers: selectAnswerHeaders(answer.headers) };
     }
--- a/packages/router/src/probation.ts
+++ b/packages/router/src/probation.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { ProbationLane } from "@bamboolink/quarantine";
+import { ProbationQueue } from "@bamboolink/quarantine";
 import type { Cancellation } from "./cancellation.ts";
 import { steadyMs } from "./clock.ts";
 import { notRun, type Outcome, type Work } from "./work.ts";
@@ -17,7 +17,7 @@
 
 /** The suspects at one backend server. */
 export class Probation {
-  private readonly lane = ProbationLane.create();
+  private readonly lane = ProbationQueue.create();
   private readonly turns = new Map<number, () => void>();
   private lastId = 0;
 
--- a/packages/router/src/request_quarantine.ts
+++ b/packages/router/src/request_quarantine.ts
@@ -5,13 +5,13 @@
  */
 import type { Logger } from "@bamboolink/logger";
 import {
-  chooseProbation,
+  chooseProbationDaemon,
   type CrashReport,
   fingerprintRequest,
   LostRuns,
   PoisonRequestTracker,
-  RecentAnswers,
-  type Standing,
+  RecentResponses,
+  type RequestClassification,
 } from "@bamboolink/quarantine";
 import type { BackendEnd } from "./backend_keeper.ts";
 import type { Datagram } from "./datagram_codec.ts";
@@ -45,13 +45,13 @@
   readonly tellSome: (news: QuarantineNews) => void;
 }
 
-const CLEAR: Standing = { kind: "clear" };
-const SUSPECT: Standing = { kind: "suspect" };
+const CLEAR: RequestClassification = { kind: "clear" };
+const SUSPECT: RequestClassification = { kind: "suspect" };
 
 /** One daemon's knowledge of requests under which backend servers end. */
 export class RequestQuarantine {
   private readonly lost = LostRuns.create();
-  private readonly answers = RecentAnswers.create();
+  private readonly answers = RecentResponses.create();
   private readonly tracker: PoisonRequestTracker;
   /** Names of requests that are under way: each is judged several times. */
   private readonly names = new WeakMap<Work, string>();
@@ -74,13 +74,13 @@
   }
 
   /** How a request may be run. Requests are named only while there is a suspect: it costs a hash of their bodies. */
-  judge(work: Work): Standing {
+  judge(work: Work): RequestClassification {
     if (!this.isOfInterest(work)) {
       return CLEAR;
     }
     const nowMs = this.context.nowMs();
     const fingerprint = this.nameOf(work);
-    const standing = this.tracker.judge(fingerprint, nowMs);
+    const standing = this.tracker.classify(fingerprint, nowMs);
     const isSuspect = standing.kind === "clear" && work.lostRuns > 0 &&
       !this.tracker.isCleared(fingerprint, nowMs);
     return isSuspect ? SUSPECT : standing;
@@ -94,7 +94,7 @@
    */
   maySendOn(work: Work, lostRuns: number): boolean {
     const isSuspect = !this.tracker.isEmpty &&
-      this.tracker.judge(this.nameOf(work), this.context.nowMs()).kind !==
+      this.tracker.classify(this.nameOf(work), this.context.nowMs()).kind !==
         "clear";
     return lostRuns < LARGEST_LOST_RUNS && !isSuspect;
   }
@@ -104,7 +104,7 @@
     work: Work,
     addresses: readonly string[],
   ): string | undefined {
-    return chooseProbation(this.nameOf(work), addresses);
+    return chooseProbationDaemon(this.nameOf(work), addresses);
   }
 
   /** Notes that the backend server here has answered a request. */
@@ -112,13 +112,13 @@
     const { address: sender, nowMs, tellAll, logger } = this.context;
     // A process that refused connections for a moment may be the same that answers now.
     this.hasEnded = false;
-    this.lost.noteAnswered(nowMs());
-    this.answers.note(work);
+    this.lost.recordAnswered(nowMs());
+    this.answers.record(work);
     if (!this.isOfInterest(work)) {
       return;
     }
     const fingerprint = this.nameOf(work);
-    if (this.tracker.recordAnswer(fingerprint, nowMs())) {
+    if (this.tracker.recordResponse(fingerprint, nowMs())) {
       logger.log("request_cleared", { request_id: work.id, fingerprint });
       tellAll({ kind: "cleared", sender, fingerprints: [fingerprint] });
     }
@@ -134,11 +134,11 @@
       // The process is gone already, and did not end under what comes too late for it.
       return;
     }
-    this.lost.noteLost({
+    this.lost.recordLost({
       requestId: work.id,
       fingerprint: this.nameOf(work),
       isOnProbation,
-      atMs: this.context.nowMs(),
+      lostAtMs: this.context.nowMs(),
     });
   }
 
@@ -147,8 +147,8 @@
     const { logger, nowMs, random } = this.context;
     // Refused: nobody listens until the next process comes. Replaced: it is there.
     this.hasEnded = proof === "refused";
-    const answered = this.answers.takeAll();
-    const runs = this.lost.takeEnded(nowMs())
+    const answered = this.answers.takeFingerprints();
+    const runs = this.lost.takeRunsAtCrash(nowMs())
       .filter(({ fingerprint }) => !answered.has(fingerprint));
     if (runs.length === 0) {
       return;
@@ -174,7 +174,7 @@
     const nowMs = this.context.nowMs();
     if (news.kind === "cleared") {
       news.fingerprints.forEach((fingerprint) => {
-        if (this.tracker.recordAnswer(fingerprint, nowMs)) {
+        if (this.tracker.recordResponse(fingerprint, nowMs)) {
           const { sender: peer } = news;
           this.context.logger.log("request_cleared", { peer, fingerprint });
         }
@@ -186,7 +186,7 @@
       return { fingerprint, crashes, quarantines, remainingMs };
     });
     const found = this.tracker.recordReports(reports, nowMs);
-    found.news.forEach((report) => this.logReport(report, news.sender));
+    found.newReports.forEach((report) => this.logReport(report, news.sender));
     this.tellCleared(found.cleared);
   }
 
@@ -250,7 +250,7 @@
   private logReport(report: CrashReport, peer?: string): void {
     const { logger, nowMs } = this.context;
     const { fingerprint, crashes } = report;
-    const standing = this.tracker.judge(fingerprint, nowMs());
+    const standing = this.tracker.classify(fingerprint, nowMs());
     if (standing.kind === "quarantined") {
       const left_ms = Math.round(standing.remainingMs);
       logger.log("request_quarantined", {
--- a/packages/router/src/answer_sender.ts
+++ b/packages/router/src/response_sender.ts
@@ -29,7 +29,7 @@
 const NO_DELAY: LinkDelay = { inTimeMs: 0, lateMs: 0 };
 
 /** Where an outcome goes, and until when it is wanted. */
-export interface AnswerTarget {
+export interface ResponseTarget {
   readonly frames: FrameSocket;
   /** The number of the request on its link. */
   readonly id: number;
@@ -37,13 +37,13 @@
   readonly objectiveAtMs: number;
 }
 
-interface LargeAnswer extends WaitingAnswer, AnswerTarget {
+interface LargeAnswer extends WaitingAnswer, ResponseTarget {
   readonly answer: Extract<Outcome, { kind: "answer" }>;
   readonly load: LoadReport;
 }
 
 /** Sends the outcomes of one daemon. */
-export class AnswerSender {
+export class ResponseSender {
   private readonly pacer: LinkPacer<LargeAnswer>;
   private readonly sizes = new Map<string, number>();
   /** Requests of each route that are being run for other daemons. */
@@ -65,8 +65,8 @@
   static create(
     linkBytesPerSecond: number,
     nowMs: () => number,
-  ): AnswerSender {
-    return new AnswerSender(linkBytesPerSecond, nowMs);
+  ): ResponseSender {
+    return new ResponseSender(linkBytesPerSecond, nowMs);
   }
 
   /** How many answers have not left yet. */
@@ -75,12 +75,12 @@
   }
 
   /** A request of a route is run for another daemon from now on, or not any more. */
-  noteRunning(route: string, change: 1 | -1): void {
+  adjustRunning(route: string, change: 1 | -1): void {
     this.running.set(route, (this.running.get(route) ?? 0) + change);
   }
 
   /** Until the answer to a request of a route would have left, beside the time to make it. */
-  expect(route: string): LinkDelay {
+  estimateDelay(route: string): LinkDelay {
     const size = this.sizes.get(route) ?? 0;
     if (size <= SMALL_BYTES) {
       return NO_DELAY;
@@ -93,7 +93,7 @@
   }
 
   /** Sends an outcome, now or when its turn comes. */
-  send(target: AnswerTarget, outcome: Outcome, load: LoadReport): void {
+  send(target: ResponseTarget, outcome: Outcome, load: LoadReport): void {
     const { frames, id, route } = target;
     const size = outcome.kind === "answer" ? outcome.body.length : 0;
     if (outcome.kind === "answer") {
--- a/packages/router/src/answer_sender_test.ts
+++ b/packages/router/src/response_sender_test.ts
@@ -5,7 +5,7 @@
  */
 import { type AddressInfo, connect, createServer } from "node:net";
 import { expect } from "chai";
-import { AnswerSender } from "./answer_sender.ts";
+import { ResponseSender } from "./response_sender.ts";
 import { FrameSocket } from "./frame_socket.ts";
 import { LinkClient } from "./link_client.ts";
 import { encodeFrame, type Frame, FRAME_KINDS } from "./link_codec.ts";
@@ -26,7 +26,7 @@
 /** Sends outcomes back to the requests of one link, in the order of the requests; returns them as they come. */
 async function exchange(outcomes: readonly Outcome[]): Promise<Outcome[]> {
   const nowMs = () => performance.now();
-  const sender = AnswerSender.create(LINK_BYTES_PER_SECOND, nowMs);
+  const sender = ResponseSender.create(LINK_BYTES_PER_SECOND, nowMs);
   const server = createServer((socket) => {
     const frames = FrameSocket.create(socket, "peer", {
       onFrame: ({ kind, id }: Frame) => {
@@ -51,7 +51,7 @@
             come.push(outcome);
             resolve();
           },
-          onSilent: () => undefined,
+          onUnresponsive: () => undefined,
           onLost: (_isSent, cause) => reject(cause),
         })
       )
@@ -82,7 +82,7 @@
 
   describe("when nobody waits for a large answer any more", () => {
     it("sends no more of it", async () => {
-      const sender = AnswerSender.create(1_000, () => 0);
+      const sender = ResponseSender.create(1_000, () => 0);
       const server = createServer();
       await new Promise<void>((resolve) =>
         server.listen(0, "127.0.0.1", resolve)
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -23,7 +23,7 @@
 } from "@bamboolink/membership";
 import { Metrics } from "@bamboolink/metrics";
 import type { Store } from "@bamboolink/store";
-import { AnswerSender } from "./answer_sender.ts";
+import { ResponseSender } from "./response_sender.ts";
 import { BackendBoard } from "./backend_board.ts";
 import { BackendKeeper } from "./backend_keeper.ts";
 import { bootMs, steadyMs } from "./clock.ts";
@@ -297,7 +297,7 @@
     });
     this.linkServer = LinkServer.create({
       logger,
-      answers: AnswerSender.create(
+      responses: ResponseSender.create(
         settings.linkBytesPerSecond ?? Infinity,
         steadyMs,
       ),
--- a/packages/router/src/work.ts
+++ b/packages/router/src/work.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Cancellation } from "./cancellation.ts";
-import type { AnswerHeaders } from "./exchange.ts";
+import type { ResponseHeaders } from "./exchange.ts";
 
 /** A request on its way to a backend server. Times are on the steady clock of the holding daemon. */
 export interface Work {
@@ -76,7 +76,7 @@
     readonly kind: "answer";
     readonly status: number;
     /** Those that pass on to the caller. */
-    readonly headers: AnswerHeaders;
+    readonly headers: ResponseHeaders;
     readonly body: Buffer;
     /** Whether the backend server said where its answer ends. */
     readonly isFramed: boolean;
