--- a/packages/quarantine/src/poison_request_tracker_test.ts
+++ b/packages/quarantine/src/poison_request_tracker_test.ts
@@ -182,7 +182,7 @@
         remainingMs: MINUTE_MS,
       };
       expect(tracker.recordReports([late], 60)).to.deep.equal({
-        news: [],
+        newReports: [],
         cleared: ["popular"],
       });
       expect(tracker.classify("popular", 61).kind).to.equal("clear");
