--- a/packages/router/src/ownership_manager.ts
+++ b/packages/router/src/ownership_manager.ts
@@ -149,7 +149,8 @@
   get isReleasingKeys(): boolean {
     const { grants, backendManager } = this.context;
     const service = this.ownService;
-    const hasLeft = backendManager().phase !== "ready" && grants.ownKeyCount > 0;
+    const hasLeft = backendManager().phase !== "ready" &&
+      grants.ownKeyCount > 0;
     return service !== undefined && this.takers(service).length > 0 &&
       (grants.isReleasing || hasLeft);
   }
