--- a/packages/router/src/forwarder.ts
+++ b/packages/router/src/forwarder.ts
@@ -80,7 +80,7 @@
           this.context.onLoad(daemon, request.route, load);
           finish(outcome);
         },
-        onSilent: () => {
+        onUnresponsive: () => {
           if (mayGiveUp()) {
             handleLoss(link.cancel(id));
           }
@@ -123,24 +123,24 @@
   ): void {
     const { daemon, nowMs } = at;
     if (link.isIdle) {
-      if (!link.isUsable || nowMs - link.lastUsedMs > LINK_IDLE_TIMEOUT_MS) {
+      if (!link.isUsable || nowMs - link.lastUsedAtMs > LINK_IDLE_TIMEOUT_MS) {
         this.links.delete(daemon);
         link.close();
       }
       return;
     }
     const overdue = this.findOverdue(link, nowMs);
-    if (overdue.some(({ sentAtMs }) => link.lastHeardMs < sentAtMs)) {
+    if (overdue.some(({ sentAtMs }) => link.lastReceivedAtMs < sentAtMs)) {
       // The connection may be dead although a new one would work. Requests in flight stay on it.
       this.links.delete(daemon);
       this.retired.push(link);
     }
-    overdue.forEach(({ listener }) => listener.onSilent());
+    overdue.forEach(({ listener }) => listener.onUnresponsive());
   }
 
   private notifyUnresponsive(link: LinkClient, nowMs: number): void {
     this.findOverdue(link, nowMs).forEach(({ listener }) =>
-      listener.onSilent()
+      listener.onUnresponsive()
     );
   }
 
--- a/packages/router/src/http_headers.ts
+++ b/packages/router/src/http_headers.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { AnswerHeaders } from "./exchange.ts";
+import type { ResponseHeaders } from "./exchange.ts";
 
 /** Hop-by-hop headers (RFC 9110, section 7.6.1), and those that frame the body. */
 const HOP_BY_HOP_HEADERS = new Set([
@@ -40,7 +40,7 @@
 
 /** Selects the headers of a response that are forwarded. */
 export function selectResponseHeaders(
-  headers: AnswerHeaders,
+  headers: ResponseHeaders,
 ): Record<string, string | string[]> {
   const { connection } = headers;
   const connectionOptions = connection === undefined
--- a/packages/router/src/ingress.ts
+++ b/packages/router/src/ingress.ts
@@ -10,7 +10,10 @@
   type ServerResponse,
 } from "node:http";
 import type { Socket } from "node:net";
-import { CallerPatience, createAnswerSpread } from "@bamboolink/admission";
+import {
+  createRetryAfterSampler,
+  ElapsedWaitEstimator,
+} from "@bamboolink/admission";
 import {
   ServerConnections,
   type UnreadableInput,
@@ -18,7 +21,7 @@
 import type { Logger } from "@bamboolink/logger";
 import type { Metrics } from "@bamboolink/metrics";
 import { fingerprintRequest } from "@bamboolink/quarantine";
-import { ConnectionOrder, TrafficSplit } from "@bamboolink/traffic";
+import { PipelineTracker, TrafficSplit } from "@bamboolink/traffic";
 import type { CallerLimits, TrafficRoute } from "@bamboolink/types";
 import type { FinalOutcome } from "./attempt_history.ts";
 import { Cancellation } from "./cancellation.ts";
@@ -93,10 +96,12 @@
 export class Ingress {
   /** Accepts the callers' connections. */
   readonly server: Server;
-  private readonly waitEstimator = CallerPatience.create();
+  private readonly waitEstimator = ElapsedWaitEstimator.create();
   private readonly trafficSplit: TrafficSplit;
-  private readonly sampleRetryAfterMs: ReturnType<typeof createAnswerSpread>;
-  private readonly pipelines = ConnectionOrder.create<Socket>();
+  private readonly sampleRetryAfterMs: ReturnType<
+    typeof createRetryAfterSampler
+  >;
+  private readonly pipelines = PipelineTracker.create<Socket>();
   /** Sequence number of each request on its connection. */
   private readonly sequenceNumbers = new WeakMap<ServerResponse, number>();
   /** Sequence number of the response that closes a connection; requests pipelined behind it get no response. */
@@ -109,7 +114,7 @@
 
   private constructor(private readonly context: IngressContext) {
     this.trafficSplit = TrafficSplit.create(context.random);
-    this.sampleRetryAfterMs = createAnswerSpread(context.random);
+    this.sampleRetryAfterMs = createRetryAfterSampler(context.random);
     this.server = createServer({
       maxHeaderSize: MAX_HEADER_BYTES,
       keepAliveTimeout: INITIAL_LIMITS.idleTimeoutMs,
@@ -166,12 +171,12 @@
     response: ServerResponse,
   ): Promise<void> {
     const { socket } = incoming;
-    if (this.connections.passesOver(incoming)) {
+    if (this.connections.discardAfterLastResponse(incoming)) {
       return;
     }
     let route: string | undefined;
     this.active += 1;
-    this.sequenceNumbers.set(response, this.pipelines.begin(socket));
+    this.sequenceNumbers.set(response, this.pipelines.beginRequest(socket));
     try {
       route = await this.serveOne(incoming, response);
     } catch (cause) {
@@ -179,7 +184,7 @@
       response.destroy();
     } finally {
       this.active -= 1;
-      this.pipelines.end(socket, route);
+      this.pipelines.endRequest(socket, route);
     }
   }
 
@@ -209,9 +214,9 @@
         reason: "no_configuration",
         retryAfterMs: this.sampleRetryAfterMs({
           waitMs: NO_CONFIGURATION_RETRY_MS,
-          usefulMs: 0,
-          leftMs: request.deadlineMs ?? Infinity,
-          isPassing: true,
+          objectiveRemainingMs: 0,
+          remainingMs: request.deadlineMs ?? Infinity,
+          isTransient: true,
         }),
       }, request);
       return undefined;
@@ -261,11 +266,11 @@
     this.refuse(response, outcome, request);
   }
 
-  private logUnreadable({ code, pendingAnswers }: UnreadableInput): void {
+  private logUnreadable({ code, pendingResponses }: UnreadableInput): void {
     const { logger, metrics } = this.context;
     logger.log("caller_bytes_unreadable", {
       code,
-      pending_answers: pendingAnswers,
+      pending_answers: pendingResponses,
     });
     metrics.count("bamboolink_rejected_requests", { reason: "unreadable" });
   }
@@ -281,9 +286,9 @@
     const lagMs = lag.currentMs;
     const retryAfterMs = this.sampleRetryAfterMs({
       waitMs: lagMs,
-      usefulMs: 0,
-      leftMs: request.deadlineMs ?? route.timeoutMs,
-      isPassing: false,
+      objectiveRemainingMs: 0,
+      remainingMs: request.deadlineMs ?? route.timeoutMs,
+      isTransient: false,
     });
     logger.log("request_not_run", {
       request_id: request.id,
@@ -363,7 +368,7 @@
     );
     const callerWaitedMs = request.deadlineMs === undefined
       ? 0
-      : this.waitEstimator.note(route.name, request.deadlineMs);
+      : this.waitEstimator.recordDeadline(route.name, request.deadlineMs);
     const service = this.trafficSplit.choose(route);
     const isKeyed = match.inForce.services.get(service)?.keyed === true;
     return {
@@ -380,7 +385,10 @@
         (route.objectiveMs - callerWaitedMs) * (1 - TYPICAL_SERVICE_SHARE),
       deadlineAtMs: arrivedAtMs + requestTimeoutMs,
       brokenConnections: 0,
-      mayEndLate: !this.pipelines.isFollowed(incoming.socket, route.name),
+      mayEndLate: !this.pipelines.isLikelyPipelined(
+        incoming.socket,
+        route.name,
+      ),
       callerDeadlineAtMs: arrivedAtMs + (request.deadlineMs ?? route.timeoutMs),
       method: incoming.method ?? "GET",
       target: incoming.url ?? "/",
@@ -440,9 +448,9 @@
         ? outcome.waitMs
         : this.sampleRetryAfterMs({
           waitMs: outcome.waitMs,
-          usefulMs: routed.latestStartAtMs - steadyMs(),
-          leftMs: routed.callerDeadlineAtMs - steadyMs(),
-          isPassing: TRANSIENT_REASONS.has(outcome.reason),
+          objectiveRemainingMs: routed.latestStartAtMs - steadyMs(),
+          remainingMs: routed.callerDeadlineAtMs - steadyMs(),
+          isTransient: TRANSIENT_REASONS.has(outcome.reason),
         });
       logger.log("request_not_run", {
         request_id: routed.id,
@@ -539,7 +547,7 @@
       // The response may be truncated. It is delimited by the end of the connection here, too, so that the caller doesn't
       // take it for complete.
       const { socket } = response.req;
-      this.connections.announceEnd(socket);
+      this.connections.closeAfterNextResponse(socket);
       this.lastSequenceNumbers.set(
         socket,
         this.sequenceNumbers.get(response) ?? 0,
@@ -589,7 +597,7 @@
     if (!this.isStopping || !this.pipelines.isLast(socket, sequenceNumber)) {
       return {};
     }
-    this.connections.announceEnd(socket);
+    this.connections.closeAfterNextResponse(socket);
     return { connection: "close" };
   }
 }
--- a/packages/router/src/local_backend.ts
+++ b/packages/router/src/local_backend.ts
@@ -6,14 +6,14 @@
  */
 import {
   ColdStartPacer,
+  type QueueChanges,
   ServiceTimes,
-  type WorkChanges,
   WorkQueue,
 } from "@bamboolink/admission";
 import {
-  type GrantBook,
+  type GrantTracker,
   type Incarnation,
-  isSame,
+  isSameIncarnation,
   LoadProfile,
 } from "@bamboolink/keyspace";
 import type { Logger } from "@bamboolink/logger";
@@ -73,7 +73,7 @@
   readonly address: string;
   readonly protocol: BackendProtocol;
   readonly logger: Logger;
-  readonly grants: GrantBook;
+  readonly grants: GrantTracker;
   readonly quarantine: RequestQuarantine;
   /** Called on evidence against the assumed state of the backend server. */
   readonly onSuspicion: (suspicion: BackendSuspicion) => void;
@@ -127,7 +127,7 @@
   /** Applies the identity that the backend server announced; `undefined` when it is absent. */
   updateIdentity(identity: BackendIdentity | undefined): void {
     const isSameProcess = identity !== undefined &&
-      this.identity !== undefined && isSame(identity, this.identity);
+      this.identity !== undefined && isSameIncarnation(identity, this.identity);
     if (!isSameProcess) {
       this.connections.closeIdle();
       this.times.clear();
@@ -167,7 +167,7 @@
 
   /** Typical service time over all routes, in milliseconds; 0 until enough requests were served. */
   get serviceMs(): number {
-    return this.times.settledMs;
+    return this.times.stableAverageMs;
   }
 
   /** Share of recent requests that failed, from 0 to 1. */
@@ -215,7 +215,7 @@
     this.apply(this.queue.advance(nowMs));
     this.meter.decay(nowMs);
     this.profile.decay(nowMs);
-    this.connections.prune({ nowMs, longestIdleMs: IDEMPOTENT_MAX_IDLE_MS });
+    this.connections.prune({ nowMs, maxIdleMs: IDEMPOTENT_MAX_IDLE_MS });
   }
 
   /** Rechecks the requests that wait for a grant. To be called when the backend server was granted keys. */
@@ -281,7 +281,7 @@
     this.meter.recordOffered(estimateMs);
     this.totals.offered += 1;
     if (request.key !== undefined) {
-      this.profile.note(request.key, estimateMs);
+      this.profile.record(request.key, estimateMs);
     }
     this.lastId += 1;
     const id = this.lastId;
@@ -330,7 +330,7 @@
       return undefined;
     }
     const key = request.key;
-    if (key === undefined || !grants.isOwn(key)) {
+    if (key === undefined || !grants.owns(key)) {
       return notRun("not_owner");
     }
     if (grants.holds(key, bootMs())) {
@@ -357,7 +357,7 @@
         resolve();
       };
       const recheck = () => {
-        if (grants.holds(key, bootMs()) || !grants.isOwn(key)) {
+        if (grants.holds(key, bootMs()) || !grants.owns(key)) {
           finish();
         }
       };
@@ -415,9 +415,9 @@
       this.releaseSlot(slot.id);
       return refused;
     }
-    const connection = this.connections.take({
+    const connection = this.connections.acquire({
       nowMs: startedAtMs,
-      longestIdleMs: request.isIdempotent
+      maxIdleMs: request.isIdempotent
         ? IDEMPOTENT_MAX_IDLE_MS
         : NON_IDEMPOTENT_MAX_IDLE_MS,
     });
@@ -447,7 +447,7 @@
     }
     const key = request.key;
     if (this.identity?.isKeyed === true && key !== undefined) {
-      if (!grants.isOwn(key) || !grants.holds(key, bootMs())) {
+      if (!grants.owns(key) || !grants.holds(key, bootMs())) {
         return notRun("not_owner");
       }
     }
@@ -465,7 +465,7 @@
 
   private describe(request: RoutedRequest, nowMs: number) {
     const details = this.context.protocol.requestHeaders({
-      deadlineLeftMs: Math.max(1, Math.floor(request.deadlineAtMs - nowMs)),
+      remainingMs: Math.max(1, Math.floor(request.deadlineAtMs - nowMs)),
       instance: this.identity?.instance ?? "",
       callerService: request.callerService,
     });
@@ -500,14 +500,14 @@
     },
   ): Outcome {
     const { answer, connection } = completed;
-    const verdict = this.context.protocol.judge(answer, request.id);
+    const verdict = this.context.protocol.classifyResponse(answer, request.id);
     if (verdict === "foreign") {
       // The right response may still follow on this connection, and must not be matched to another request.
       this.connections.discard(connection);
       this.context.logger.log("foreign_answer", { request_id: request.id });
       return unknown("foreign_answer");
     }
-    this.connections.give(connection);
+    this.connections.release(connection);
     if (verdict === "answer") {
       return { ...answer, headers: selectResponseHeaders(answer.headers) };
     }
@@ -541,7 +541,7 @@
   ): void {
     const { outcome, durationMs } = completed;
     if (outcome.kind === "answer" && outcome.status < 500) {
-      this.times.note(request.route, durationMs);
+      this.times.record(request.route, durationMs);
     }
     const isFailure = outcome.kind === "unknown" ||
       outcome.kind === "answer" && outcome.status >= 500 ||
@@ -554,7 +554,7 @@
     this.apply(this.queue.finish(id, steadyMs()));
   }
 
-  private apply(changes: WorkChanges): void {
+  private apply(changes: QueueChanges): void {
     changes.run.forEach((id) => this.resolveWaiting(id, "run"));
     changes.refuse.forEach(({ id, reason }) =>
       this.resolveWaiting(id, notRun(reason, { waitMs: this.waitMs }))
--- a/packages/router/src/local_backend_test.ts
+++ b/packages/router/src/local_backend_test.ts
@@ -10,7 +10,7 @@
   type ServerResponse,
 } from "node:http";
 import type { AddressInfo } from "node:net";
-import { GrantBook } from "@bamboolink/keyspace";
+import { GrantTracker } from "@bamboolink/keyspace";
 import { Logger } from "@bamboolink/logger";
 import { fingerprintRequest } from "@bamboolink/quarantine";
 import { expect } from "chai";
@@ -73,10 +73,10 @@
     address: `127.0.0.1:${port}`,
     protocol: {
       requestHeaders: () => [],
-      judge: () => "answer",
+      classifyResponse: () => "answer",
     } as unknown as BackendProtocol,
     logger,
-    grants: GrantBook.create(bootMs()),
+    grants: GrantTracker.create(bootMs()),
     quarantine,
     onSuspicion: () => undefined,
   });
--- a/packages/router/src/probation.ts
+++ b/packages/router/src/probation.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { ProbationLane } from "@bamboolink/quarantine";
+import { ProbationQueue } from "@bamboolink/quarantine";
 import type { Cancellation } from "./cancellation.ts";
 import { steadyMs } from "./clock.ts";
 import { notRun, type Outcome, type RoutedRequest } from "./routed_request.ts";
@@ -17,7 +17,7 @@
 
 /** The queue of suspect requests at one backend server. */
 export class Probation {
-  private readonly queue = ProbationLane.create();
+  private readonly queue = ProbationQueue.create();
   private readonly startsById = new Map<number, () => void>();
   private lastId = 0;
 
--- a/packages/router/src/request_quarantine.ts
+++ b/packages/router/src/request_quarantine.ts
@@ -5,15 +5,15 @@
  */
 import type { Logger } from "@bamboolink/logger";
 import {
-  chooseProbation,
+  chooseProbationDaemon,
   type CrashReport,
   fingerprintRequest,
   LostRuns,
   PoisonRequestTracker,
-  RecentAnswers,
-  type Standing,
+  RecentResponses,
+  type RequestClassification,
 } from "@bamboolink/quarantine";
-import type { BackendEnd } from "./backend_keeper.ts";
+import type { BackendProcessEnd } from "./backend_manager.ts";
 import type { Datagram } from "./datagram_codec.ts";
 import type { RoutedRequest } from "./routed_request.ts";
 
@@ -45,13 +45,13 @@
   readonly sendToSome: (update: QuarantineUpdate) => void;
 }
 
-const CLEAR: Standing = { kind: "clear" };
-const SUSPECT: Standing = { kind: "suspect" };
+const CLEAR: RequestClassification = { kind: "clear" };
+const SUSPECT: RequestClassification = { kind: "suspect" };
 
 /** One daemon's state of the requests that are suspected of crashing backend servers or quarantined. */
 export class RequestQuarantine {
   private readonly lostRuns = LostRuns.create();
-  private readonly recentResponses = RecentAnswers.create();
+  private readonly recentResponses = RecentResponses.create();
   private readonly tracker: PoisonRequestTracker;
   /** Cached fingerprints of requests in flight: each request is classified several times. */
   private readonly fingerprintCache = new WeakMap<RoutedRequest, string>();
@@ -77,13 +77,13 @@
    * Returns how a request may be run. Fingerprints are computed only while there are suspects: they hash the requests'
    * bodies.
    */
-  classify(request: RoutedRequest): Standing {
+  classify(request: RoutedRequest): RequestClassification {
     if (!this.needsClassification(request)) {
       return CLEAR;
     }
     const nowMs = this.context.nowMs();
     const fingerprint = this.fingerprintOf(request);
-    const classification = this.tracker.judge(fingerprint, nowMs);
+    const classification = this.tracker.classify(fingerprint, nowMs);
     const isSuspect = classification.kind === "clear" &&
       request.brokenConnections > 0 &&
       !this.tracker.isCleared(fingerprint, nowMs);
@@ -98,7 +98,7 @@
    */
   mayRetry(request: RoutedRequest, brokenConnections: number): boolean {
     const isSuspect = !this.tracker.isEmpty &&
-      this.tracker.judge(this.fingerprintOf(request), this.context.nowMs())
+      this.tracker.classify(this.fingerprintOf(request), this.context.nowMs())
           .kind !==
         "clear";
     return brokenConnections < MAX_BROKEN_CONNECTIONS && !isSuspect;
@@ -109,7 +109,7 @@
     request: RoutedRequest,
     addresses: readonly string[],
   ): string | undefined {
-    return chooseProbation(this.fingerprintOf(request), addresses);
+    return chooseProbationDaemon(this.fingerprintOf(request), addresses);
   }
 
   /** Records that the local backend server has responded to a request. */
@@ -117,13 +117,13 @@
     const { address: sender, nowMs, broadcast, logger } = this.context;
     // A process that refused connections for a moment may be the one that responds now.
     this.hasCrashed = false;
-    this.lostRuns.noteAnswered(nowMs());
-    this.recentResponses.note(request);
+    this.lostRuns.recordAnswered(nowMs());
+    this.recentResponses.record(request);
     if (!this.needsClassification(request)) {
       return;
     }
     const fingerprint = this.fingerprintOf(request);
-    if (this.tracker.recordAnswer(fingerprint, nowMs())) {
+    if (this.tracker.recordResponse(fingerprint, nowMs())) {
       logger.log("request_cleared", { request_id: request.id, fingerprint });
       broadcast({ kind: "cleared", sender, fingerprints: [fingerprint] });
     }
@@ -139,21 +139,21 @@
       // The process had crashed before, so it can't have crashed under this request.
       return;
     }
-    this.lostRuns.noteLost({
+    this.lostRuns.recordLost({
       requestId: request.id,
       fingerprint: this.fingerprintOf(request),
       isOnProbation,
-      atMs: this.context.nowMs(),
+      lostAtMs: this.context.nowMs(),
     });
   }
 
   /** Records that the local backend server's process has ended. */
-  recordBackendEnd({ instance, proof }: BackendEnd): void {
+  recordBackendEnd({ instance, proof }: BackendProcessEnd): void {
     const { logger, nowMs, random } = this.context;
     // Refused: nothing listens until the next process starts. Replaced: the next process already runs.
     this.hasCrashed = proof === "refused";
-    const answeredFingerprints = this.recentResponses.takeAll();
-    const runs = this.lostRuns.takeEnded(nowMs())
+    const answeredFingerprints = this.recentResponses.takeFingerprints();
+    const runs = this.lostRuns.takeRunsAtCrash(nowMs())
       .filter(({ fingerprint }) => !answeredFingerprints.has(fingerprint));
     if (runs.length === 0) {
       return;
@@ -179,7 +179,7 @@
     const nowMs = this.context.nowMs();
     if (update.kind === "cleared") {
       update.fingerprints.forEach((fingerprint) => {
-        if (this.tracker.recordAnswer(fingerprint, nowMs)) {
+        if (this.tracker.recordResponse(fingerprint, nowMs)) {
           const { sender: peer } = update;
           this.context.logger.log("request_cleared", { peer, fingerprint });
         }
@@ -191,7 +191,9 @@
       return { fingerprint, crashes, quarantines, remainingMs };
     });
     const merged = this.tracker.recordReports(reports, nowMs);
-    merged.news.forEach((report) => this.logReport(report, update.sender));
+    merged.newReports.forEach((report) =>
+      this.logReport(report, update.sender)
+    );
     this.broadcastCleared(merged.cleared);
   }
 
@@ -258,7 +260,7 @@
   private logReport(report: CrashReport, peer?: string): void {
     const { logger, nowMs } = this.context;
     const { fingerprint, crashes } = report;
-    const classification = this.tracker.judge(fingerprint, nowMs());
+    const classification = this.tracker.classify(fingerprint, nowMs());
     if (classification.kind === "quarantined") {
       const left_ms = Math.round(classification.remainingMs);
       logger.log("request_quarantined", {
--- a/packages/router/src/request_runner.ts
+++ b/packages/router/src/request_runner.ts
@@ -3,13 +3,13 @@
  *
  * @module
  */
-import type { ResendBudget } from "@bamboolink/admission";
+import type { FleetRetryBudget } from "@bamboolink/admission";
 import type { Logger } from "@bamboolink/logger";
 import type { MemberReport, MemberView } from "@bamboolink/membership";
 import {
   chooseBackend,
-  expectedMs,
-  isOwnFailure,
+  expectedLatencyMs,
+  isServerFault,
   type PlacementCandidate,
   sampleBackends,
 } from "@bamboolink/placement";
@@ -69,7 +69,7 @@
   readonly backend: LocalBackend;
   readonly forwarder: Forwarder;
   readonly quarantine: RequestQuarantine;
-  readonly budget: ResendBudget;
+  readonly budget: FleetRetryBudget;
   readonly random: () => number;
 }
 
@@ -99,7 +99,7 @@
       });
       return { outcome, peer: undefined, attempts: 0 };
     }
-    this.context.budget.noteRequest(request.service, steadyMs());
+    this.context.budget.recordRequest(request.service, steadyMs());
     for (let round = 0; round < MAX_ROUNDS; round += 1) {
       const current = history.brokenConnections === 0
         ? request
@@ -149,7 +149,7 @@
     if (!this.hasRetryAllowance(request, arrivals, maximumAttempts)) {
       return false;
     }
-    this.context.budget.noteResend(request.service, steadyMs());
+    this.context.budget.recordRetry(request.service, steadyMs());
     return true;
   }
 
@@ -237,7 +237,7 @@
     const others = view.readyOf(request.service, steadyMs())
       .map(({ address }) => address)
       .filter((address) => address !== target.address);
-    return isOwnFailure(
+    return isServerFault(
       failureShareOf(target.address),
       others.map(failureShareOf),
     );
@@ -333,7 +333,7 @@
     candidate: PlacementCandidate,
     request: RoutedRequest,
   ): boolean {
-    return steadyMs() + expectedMs(candidate) < request.objectiveAtMs;
+    return steadyMs() + expectedLatencyMs(candidate) < request.objectiveAtMs;
   }
 
   /** Finds a key's owner. A key that has just lost its owner is waited for: most get another within milliseconds. */
--- a/packages/router/src/routed_request.ts
+++ b/packages/router/src/routed_request.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Cancellation } from "./cancellation.ts";
-import type { AnswerHeaders } from "./exchange.ts";
+import type { ResponseHeaders } from "./exchange.ts";
 
 /** A request to be sent to a backend server. Times are on the steady clock of the daemon that holds it, in milliseconds. */
 export interface RoutedRequest {
@@ -79,7 +79,7 @@
     readonly kind: "answer";
     readonly status: number;
     /** Headers to forward to the caller. */
-    readonly headers: AnswerHeaders;
+    readonly headers: ResponseHeaders;
     readonly body: Buffer;
     /** Whether the response's framing marks its end (a length or chunks), not just the end of the connection. */
     readonly isFramed: boolean;
