--- a/packages/router/src/attempt_history_test.ts
+++ b/packages/router/src/attempt_history_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of what a caller is told after several attempts.
+ * Tests of the final outcome of a request after several attempts.
  *
  * @module
  */
@@ -21,31 +21,30 @@
   return history.toFinalOutcome();
 }
 
-describe("attempt history", () => {
+describe("AttemptHistory", () => {
   describe("without an attempt", () => {
-    it("has not run", () => {
+    it("returns that the request has not run", () => {
       expect(endAfter().outcome).to.deep.equal(notRun("no_backend"));
     });
   });
 
-  // Symptom: a caller is told that its request has not run; the backend server has run it to the end.
-  // Sequence: the answer of the first attempt is lost; the second is refused for overload.
-  // Cause: the refusal of the last attempt was passed on as the outcome of all.
-  describe("when a resend is refused", () => {
-    it("is unknown after a lost answer", () => {
+  // Guards against reporting a request that a backend server has run as not run: the response of the first attempt is
+  // lost, the retry is refused for overload, and that refusal was returned as the outcome of all attempts.
+  describe("when a retry is refused", () => {
+    it("returns an unknown outcome after a lost response", () => {
       const lost = unknown("connection_lost");
       expect(endAfter(lost, notRun("overloaded")).outcome).to.equal(lost);
     });
 
-    it("is the failure that the first backend server answered with", () => {
+    it("returns the error response of the first backend server", () => {
       expect(endAfter(FAILURE, notRun("no_owner")).outcome).to.equal(FAILURE);
     });
   });
 
   describe("when all attempts were refused", () => {
-    it("has not run, and names the last daemon", () => {
-      const ending = endAfter(notRun("overloaded"), notRun("draining"));
-      expect(ending).to.deep.equal({
+    it("returns that the request has not run, with the last daemon", () => {
+      const final = endAfter(notRun("overloaded"), notRun("draining"));
+      expect(final).to.deep.equal({
         outcome: notRun("draining"),
         peer: "d1",
         attempts: 2,
@@ -53,15 +52,15 @@
     });
   });
 
-  describe("when a resend is answered", () => {
-    it("has that answer", () => {
+  describe("when a retry gets a response", () => {
+    it("returns that response", () => {
       const answer: Outcome = { ...FAILURE, status: 200 };
       expect(endAfter(unknown("connection_lost"), answer).outcome)
         .to.equal(answer);
     });
   });
 
-  it("counts what arrived, also where it was not executed there", () => {
+  it("counts attempts that reached a backend server, executed there or not", () => {
     const history = AttemptHistory.create();
     history.record("a", notRun("overloaded"));
     history.record("b", notRun("not_executed", { hasArrived: true }));
--- a/packages/router/src/ingress.ts
+++ b/packages/router/src/ingress.ts
@@ -341,8 +341,8 @@
   }
 
   /**
-   * Whether an earlier response has closed the connection before this request was received in full. It must not run: its
-   * caller assumes that it was never read.
+   * Whether an earlier response has closed the connection before this request was received in full. It must not run:
+   * its caller assumes that it was never read.
    */
   private isBehindLastResponse(response: ServerResponse): boolean {
     const sequenceNumber = this.sequenceNumbers.get(response) ?? 0;
@@ -544,8 +544,8 @@
       ? backendResponse.headers["content-length"]?.toString()
       : String(backendResponse.body.length);
     if (!backendResponse.isFramed) {
-      // The response may be truncated. It is delimited by the end of the connection here, too, so that the caller doesn't
-      // take it for complete.
+      // The response may be truncated. It is delimited by the end of the connection here, too, so that the caller
+      // doesn't take it for complete.
       const { socket } = response.req;
       this.connections.closeAfterNextResponse(socket);
       this.lastSequenceNumbers.set(
@@ -588,8 +588,8 @@
   }
 
   /**
-   * While the daemon stops, a response closes its connection, unless other requests are pipelined behind it: they may be
-   * running already, and their responses would be cut off.
+   * While the daemon stops, a response closes its connection, unless other requests are pipelined behind it: they may
+   * be running already, and their responses would be cut off.
    */
   private connectionHeader(response: ServerResponse): Record<string, string> {
     const { socket } = response.req;
--- a/packages/router/src/local_backend.ts
+++ b/packages/router/src/local_backend.ts
@@ -1,6 +1,6 @@
 /**
- * Forwards requests to the backend server on this host, at most as many at a time as it has slots, and queues or refuses
- * the rest.
+ * Forwards requests to the backend server on this host, at most as many at a time as it has slots, and queues or
+ * refuses the rest.
  *
  * @module
  */
@@ -209,7 +209,9 @@
     };
   }
 
-  /** Refuses queued requests that can't be served in time any more, and decays the load statistics. Called by a timer. */
+  /**
+   * Refuses queued requests that can't be served in time any more, and decays the load statistics. Called by a timer.
+   */
   tick(): void {
     const nowMs = steadyMs();
     this.apply(this.queue.advance(nowMs));
@@ -315,7 +317,9 @@
       : undefined;
   }
 
-  /** While it drains, only requests for keys are forwarded for a while longer: no other backend server can serve them. */
+  /**
+   * While it drains, only requests for keys are forwarded for a while longer: no other backend server can serve them.
+   */
   private acceptsRequests({ phase, isKeyed, forwardUntilMs }: BackendIdentity) {
     return phase === "ready" || isKeyed && steadyMs() <= forwardUntilMs;
   }
--- a/packages/router/src/local_backend_test.ts
+++ b/packages/router/src/local_backend_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of requests at a backend server that ends under them.
+ * Tests of requests at a backend server that crashes while it runs them.
  *
  * @module
  */
@@ -24,33 +24,33 @@
 
 const SLOTS = 4;
 
-const ask = (target: string): RoutedRequest => ({
+const createRequest = (target: string): RoutedRequest => ({
   ...SAMPLE_REQUEST,
   target,
   objectiveAtMs: steadyMs() + 1_000,
   deadlineAtMs: steadyMs() + 2_000,
 });
 
-/** The connections of a server that ends break one after the other within this time, in milliseconds. */
-const BREAKING_MS = 10;
+/** Time between the breaks of a crashing server's connections, in milliseconds. */
+const CONNECTION_BREAK_DELAY_MS = 10;
 
-/** A backend server that ends at once under a request for `/lethal`. */
+/** Starts a backend server that crashes at once when it receives a request for `/lethal`. */
 function startServer(): Promise<Server> {
-  let hasEnded = false;
+  let hasCrashed = false;
   const serve = (incoming: IncomingMessage, response: ServerResponse) => {
-    if (hasEnded) {
+    if (hasCrashed) {
       return;
     }
     if (incoming.url !== "/lethal") {
       response.end("done");
       return;
     }
-    hasEnded = true;
+    hasCrashed = true;
     incoming.socket.destroy();
     setTimeout(() => {
       server.close();
       server.closeAllConnections();
-    }, BREAKING_MS);
+    }, CONNECTION_BREAK_DELAY_MS);
   };
   const server = createServer(serve);
   return new Promise((resolve) =>
@@ -106,27 +106,29 @@
     server.closeAllConnections();
   });
 
-  describe("when a server ends under a suspect while another one waits for its turn", () => {
-    // Guards against a popular request being quarantined, since its turn came on a connection to the server that had
-    // just ended, which nobody had noticed yet.
-    it("has only the first quarantined", async () => {
+  describe("when a server crashes under a suspect while another suspect is queued", () => {
+    // Guards against quarantining the queued request: it is sent next, on a connection to the crashed server whose
+    // break has not been detected yet.
+    it("quarantines only the first", async () => {
       const { backend, quarantine } = createBackend(server);
-      const attempt = (work: RoutedRequest) =>
-        backend.attempt(work, Cancellation.create());
-      await Promise.all(["/a", "/b"].map((target) => attempt(ask(target))));
-      const suspects = ["/lethal", "/popular"].map(ask);
+      const attempt = (request: RoutedRequest) =>
+        backend.attempt(request, Cancellation.create());
+      await Promise.all(
+        ["/a", "/b"].map((target) => attempt(createRequest(target))),
+      );
+      const suspects = ["/lethal", "/popular"].map(createRequest);
       quarantine.applyUpdate({
         kind: "crash_reports",
         sender: "other",
         suspected: suspects.map((
-          work,
-        ) => [fingerprintRequest(work), [7], 0, 0]),
+          request,
+        ) => [fingerprintRequest(request), [7], 0, 0]),
       });
       const outcomes = await Promise.all(suspects.map(attempt));
       expect(outcomes.map(({ kind }) => kind))
         .to.deep.equal(["unknown", "unknown"]);
       quarantine.recordBackendEnd({ instance: "i-1", proof: "refused" });
-      expect(suspects.map((work) => quarantine.classify(work).kind))
+      expect(suspects.map((request) => quarantine.classify(request).kind))
         .to.deep.equal(["quarantined", "suspect"]);
       await backend.close();
     });
--- a/packages/router/src/loop_lag.ts
+++ b/packages/router/src/loop_lag.ts
@@ -69,8 +69,8 @@
   }
 
   /**
-   * Whether the lag is so high that a request of a rank should be refused at once. Otherwise every request is read late,
-   * is still run, and delays the next one further.
+   * Whether the lag is so high that a request of a rank should be refused at once. Otherwise every request is read
+   * late, is still run, and delays the next one further.
    */
   isOverloaded(rank: number): boolean {
     const maxLagMs = rank <= MAX_URGENT_RANK ? URGENT_MAX_LAG_MS : MAX_LAG_MS;
@@ -79,10 +79,10 @@
 
   /**
    * Waits until the process has had the chance to read that a caller has disconnected, which may be queued right behind
-   * the caller's request. It waits only under lag, and for the first request of a connection: a connection whose opening
-   * packet was lost arrives about a second late, together with all that its caller has sent meanwhile. The end of a
-   * connection is read in the event-loop turn after its last bytes, so the wait takes the rest of this turn and all of
-   * the next.
+   * the caller's request. It waits only under lag, and for the first request of a connection: a connection whose
+   * opening packet was lost arrives about a second late, together with all that its caller has sent meanwhile. The end
+   * of a connection is read in the event-loop turn after its last bytes, so the wait takes the rest of this turn and
+   * all of the next.
    *
    * @param request.isFirst whether the request is the first one of its connection.
    */
--- a/packages/router/src/loop_lag_test.ts
+++ b/packages/router/src/loop_lag_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the measure of the event loop's lag.
+ * Tests of the measurement of the event loop's lag.
  *
  * @module
  */
@@ -9,34 +9,34 @@
 import { hasDisconnected } from "./http_body.ts";
 import { LoopLag } from "./loop_lag.ts";
 
-/** A measure fed by a timer of 50 ms, on a clock that is set by hand. */
+/** Creates a lag meter with a timer period of 50 ms, on a manual clock. */
 function createLag() {
   let nowMs = 0;
   const lag = LoopLag.create(50, () => nowMs);
-  const pass = (byMs: number) => {
+  const advance = (byMs: number) => {
     nowMs += byMs;
   };
   const tickAfter = (byMs: number) => {
-    pass(byMs);
+    advance(byMs);
     lag.recordTick();
   };
-  return { lag, pass, tickAfter };
+  return { lag, advance, tickAfter };
 }
 
-describe("loop lag", () => {
+describe("LoopLag", () => {
   describe("while ticks are on time, or nearly", () => {
-    it("is none", () => {
+    it("is zero", () => {
       const { lag, tickAfter } = createLag();
       [50, 52, 61, 80].forEach(tickAfter);
       expect(lag.currentMs).to.equal(0);
     });
   });
 
-  describe("when the process is far behind", () => {
-    // Symptom: after a restart of all hosts requests are run for callers that left a second ago.
-    // Sequence: processors are small and code is not compiled yet; requests come as fast as ever.
-    // Cause: each was read late and run all the same, which made the next one later.
-    it("refuses the less urgent first, then all", () => {
+  describe("when the event loop lags far behind", () => {
+    // Guards against running requests for callers that disconnected a second ago: after a restart of all hosts, with
+    // slow processors and code that is not compiled yet, each request was read late and still run, which delayed the
+    // next one.
+    it("refuses less urgent requests first, then all", () => {
       const { lag, tickAfter } = createLag();
       tickAfter(50 + 150);
       expect(lag.isOverloaded(2)).to.equal(true);
@@ -46,20 +46,19 @@
     });
   });
 
-  describe("within a turn that goes on for long", () => {
-    // Symptom: as above, although the lag of each turn was measured.
-    // Sequence: hundreds of requests are read in one turn, before the timer can fire.
-    // Cause: they were judged by the lag of the turn before, which was small.
+  describe("within a long turn of the event loop", () => {
+    // Guards against admitting hundreds of requests that are read in one turn, before the timer can fire, by the small
+    // lag of the turn before.
     it("counts the time since the last tick", () => {
-      const { lag, pass, tickAfter } = createLag();
+      const { lag, advance, tickAfter } = createLag();
       tickAfter(50);
-      pass(850);
+      advance(850);
       expect(lag.currentMs).to.equal(800);
     });
   });
 
   describe("when the process has caught up", () => {
-    it("is the largest of the last ticks, and is forgotten after some", () => {
+    it("is the maximum of the last ticks, and falls to zero after some more", () => {
       const { lag, tickAfter } = createLag();
       [1_050, 50, 50].forEach(tickAfter);
       expect(lag.currentMs).to.equal(1_000);
@@ -68,8 +67,8 @@
     });
   });
 
-  describe("when a request is read together with its caller's leaving", () => {
-    /** Serves one request whose caller has left at once; tells whether that is noticed. */
+  describe("when a request is received together with its caller's disconnect", () => {
+    /** Serves one request whose caller has disconnected at once; returns whether that is detected. */
     function serveOne(
       lag: LoopLag,
       request: { isFirst: boolean },
@@ -84,31 +83,27 @@
           const { port } = server.address() as AddressInfo;
           const socket = connect(port, "127.0.0.1");
           socket.end("GET / HTTP/1.1\r\nhost: x\r\n\r\n");
-          // Both lie in the server's buffer before it reads again.
-          const untilMs = performance.now() + 50;
+          // Both are in the server's receive buffer before it reads again.
+          const blockUntilMs = performance.now() + 50;
           socket.on("connect", () => {
-            while (performance.now() < untilMs);
+            while (performance.now() < blockUntilMs);
           });
         });
         server.unref();
       });
     }
 
-    // Symptom: a request reaches a backend server long after its caller has left, and is cut at once.
-    // Sequence: the process is behind; request and end of the connection wait together; the request is
-    // read in one turn and handed over before the end is read in the next.
-    // Cause: one turn was waited for.
-    it("notices that while the process is behind", async () => {
-      const { lag, pass } = createLag();
-      pass(1_000);
+    // Guards against forwarding a request long after its caller has disconnected, only to abort it at once: under lag,
+    // the request is read in one turn and the end of the connection in the next, and only one turn was waited for.
+    it("detects the disconnect under lag", async () => {
+      const { lag, advance } = createLag();
+      advance(1_000);
       expect(await serveOne(lag, { isFirst: false })).to.equal(true);
     });
 
-    // Symptom: the same, at a process that is not behind.
-    // Sequence: the packet that opens a connection is lost and sent again after a second; the caller has
-    // left meanwhile, and its request and its leaving come together.
-    // Cause: only a process that was behind looked whether the caller was still there.
-    it("notices that for the first request of a connection", async () => {
+    // Guards against the same without lag: the packet that opens a connection is lost and retransmitted after a second,
+    // the caller has disconnected meanwhile, and only a lagging process checked whether it was still connected.
+    it("detects the disconnect for the first request of a connection", async () => {
       const { lag } = createLag();
       expect(await serveOne(lag, { isFirst: true })).to.equal(true);
     });
--- a/packages/router/src/request_quarantine_test.ts
+++ b/packages/router/src/request_quarantine_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of what daemons tell each other of requests under which backend servers end.
+ * Tests of how daemons share the state of requests that crash backend servers.
  *
  * @module
  */
@@ -13,25 +13,28 @@
 import type { RoutedRequest } from "./routed_request.ts";
 
 const DAEMONS = ["10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"];
-/** More than one datagram tells of. */
+/** More requests than one datagram reports. */
 const MANY = 40;
-/** Longer than the pause between two retellings, in milliseconds. */
-const RETELLING_MS = 1_100;
-/** Distance between two draws: no two of a test are the same. */
-const STEP = 0.618;
-const END = { instance: "i-1", proof: "refused" } as const;
-
-const ask = (target: string, brokenConnections = 0): RoutedRequest => ({
+/** Longer than the interval of repeated reports, in milliseconds. */
+const REPEAT_WAIT_MS = 1_100;
+/** Difference of two successive random numbers; all numbers of a test differ. */
+const RANDOM_STEP = 0.618;
+const CRASH = { instance: "i-1", proof: "refused" } as const;
+
+const createRequest = (
+  target: string,
+  brokenConnections = 0,
+): RoutedRequest => ({
   ...SAMPLE_REQUEST,
   target,
   brokenConnections,
 });
 
-/** Daemons that hear each other when the test says so. */
+/** Daemons whose messages are delivered when the test calls `deliver`. */
 class Fleet {
   nowMs = 1_000;
-  private drawn = 0;
-  readonly sent: { to: string; news: QuarantineUpdate }[] = [];
+  private lastRandom = 0;
+  readonly sent: { to: string; update: QuarantineUpdate }[] = [];
   readonly daemons = new Map(
     DAEMONS.map((address) => [address, this.createDaemon(address)]),
   );
@@ -44,58 +47,60 @@
     return this.daemons.get(DAEMONS[index]!)!;
   }
 
-  /** A daemon starts again and has forgotten all. */
+  /** Restarts a daemon, which loses its state. */
   restart(index: number): void {
     const address = DAEMONS[index]!;
     this.daemons.set(address, this.createDaemon(address));
   }
 
-  /** Delivers what was sent, until nothing more is. */
+  /** Delivers sent messages until there are no more. */
   deliver(order: (sent: Fleet["sent"]) => Fleet["sent"] = (sent) => sent) {
     while (this.sent.length > 0) {
-      order(this.sent.splice(0)).forEach(({ to, news }) =>
-        this.daemons.get(to)!.applyUpdate(news)
+      order(this.sent.splice(0)).forEach(({ to, update }) =>
+        this.daemons.get(to)!.applyUpdate(update)
       );
     }
   }
 
-  /** The server beside a daemon ends while it runs requests. */
-  end(
+  /** Crashes a daemon's backend server while it runs requests. */
+  crash(
     index: number,
     runs: readonly RoutedRequest[],
     isOnProbation = false,
   ): void {
     const daemon = this.at(index);
-    runs.forEach((work) => daemon.recordBrokenConnection(work, isOnProbation));
-    daemon.recordBackendEnd(END);
+    runs.forEach((request) =>
+      daemon.recordBrokenConnection(request, isOnProbation)
+    );
+    daemon.recordBackendEnd(CRASH);
   }
 
-  /** How each daemon would run a request. */
-  judge(work: RoutedRequest): string[] {
+  /** Returns how each daemon classifies a request. */
+  classify(request: RoutedRequest): string[] {
     return [...this.daemons.values()].map((daemon) =>
-      daemon.classify(work).kind
+      daemon.classify(request).kind
     );
   }
 
   private createDaemon(address: string): RequestQuarantine {
     const others = DAEMONS.filter((other) => other !== address);
-    const tell = (news: QuarantineUpdate) =>
-      others.forEach((to) => this.sent.push({ to, news }));
+    const send = (update: QuarantineUpdate) =>
+      others.forEach((to) => this.sent.push({ to, update }));
     return RequestQuarantine.create({
       address,
       logger: Logger.createBounded("test", { level: "error" }),
       random: () => {
-        this.drawn = (this.drawn + STEP) % 1;
-        return this.drawn;
+        this.lastRandom = (this.lastRandom + RANDOM_STEP) % 1;
+        return this.lastRandom;
       },
       nowMs: () => this.nowMs,
-      broadcast: tell,
-      sendToSome: tell,
+      broadcast: send,
+      sendToSome: send,
     });
   }
 }
 
-const ALL = (kind: string) => DAEMONS.map(() => kind);
+const atAll = (kind: string) => DAEMONS.map(() => kind);
 
 describe("RequestQuarantine", () => {
   let fleet: Fleet;
@@ -104,101 +109,128 @@
     fleet = Fleet.create();
   });
 
-  describe("after a server has ended", () => {
-    it("has all daemons run what was lost there alone, and sent on once", () => {
-      fleet.end(0, [ask("/lethal"), ask("/beside")]);
+  describe("after a server has crashed", () => {
+    it("makes all daemons run its requests alone, and retry others only once", () => {
+      fleet.crash(0, [createRequest("/lethal"), createRequest("/beside")]);
       fleet.deliver();
-      expect(fleet.judge(ask("/lethal"))).to.deep.equal(ALL("suspect"));
-      expect(fleet.judge(ask("/beside"))).to.deep.equal(ALL("suspect"));
-      expect(fleet.judge(ask("/other"))).to.deep.equal(ALL("clear"));
-      expect(fleet.at(1).mayRetry(ask("/lethal"), 1)).to.equal(false);
-      expect(fleet.at(1).mayRetry(ask("/other"), 1)).to.equal(true);
-      expect(fleet.at(1).mayRetry(ask("/other"), 2)).to.equal(false);
+      expect(fleet.classify(createRequest("/lethal"))).to.deep.equal(
+        atAll("suspect"),
+      );
+      expect(fleet.classify(createRequest("/beside"))).to.deep.equal(
+        atAll("suspect"),
+      );
+      expect(fleet.classify(createRequest("/other"))).to.deep.equal(
+        atAll("clear"),
+      );
+      expect(fleet.at(1).mayRetry(createRequest("/lethal"), 1)).to.equal(false);
+      expect(fleet.at(1).mayRetry(createRequest("/other"), 1)).to.equal(true);
+      expect(fleet.at(1).mayRetry(createRequest("/other"), 2)).to.equal(false);
     });
 
-    it("tells of all that it ran, however much that is", () => {
-      const runs = Array.from({ length: MANY }, (_, index) => ask(`/${index}`));
-      fleet.end(0, runs);
+    it("reports all requests that it ran, however many", () => {
+      const runs = Array.from(
+        { length: MANY },
+        (_, index) => createRequest(`/${index}`),
+      );
+      fleet.crash(0, runs);
       fleet.deliver();
-      runs.forEach((work) =>
-        expect(fleet.judge(work)).to.deep.equal(ALL("suspect"))
+      runs.forEach((request) =>
+        expect(fleet.classify(request)).to.deep.equal(atAll("suspect"))
       );
     });
 
-    // Popular requests are under way at every end. The ended process had answered them, so they have not ended it.
-    it("does not suspect what the ended process had answered", () => {
-      fleet.at(0).recordResponse(ask("/popular"));
-      fleet.end(0, [ask("/popular"), ask("/lethal")]);
+    // Guards against suspecting popular requests, which are in flight at every crash: the crashed process had responded
+    // to them before, so they can't have crashed it.
+    it("does not suspect requests that the crashed process had responded to", () => {
+      fleet.at(0).recordResponse(createRequest("/popular"));
+      fleet.crash(0, [createRequest("/popular"), createRequest("/lethal")]);
       fleet.deliver();
-      expect(fleet.judge(ask("/popular"))).to.deep.equal(ALL("clear"));
+      expect(fleet.classify(createRequest("/popular"))).to.deep.equal(
+        atAll("clear"),
+      );
     });
   });
 
-  // A popular request was quarantined, and its callers refused for half a minute. It was sent to a server that was gone
-  // already, on a connection that had not been found closed; the one end was told twice, when nobody listened any more
-  // and when the next process came, and the second time nothing was known of what the ended one had answered.
-  describe("when a connection to a server breaks that is known to have ended", () => {
-    it("blames nothing for it, and the next process's end on what it runs", () => {
-      fleet.at(0).recordResponse(ask("/popular"));
-      fleet.end(0, [ask("/lethal")]);
-      fleet.at(0).recordBrokenConnection(ask("/popular", 1), true);
+  // Guards against quarantining a popular request, whose callers were refused for half a minute. It was sent to a
+  // crashed server, on a connection whose break had not been detected; the one crash was reported twice, when the
+  // server refused connections and when the next process started, and the second report no longer knew the crashed
+  // one's responses.
+  describe("when a connection breaks to a server that is known to have crashed", () => {
+    it("suspects no request, and the next process's requests when that crashes", () => {
+      fleet.at(0).recordResponse(createRequest("/popular"));
+      fleet.crash(0, [createRequest("/lethal")]);
+      fleet.at(0).recordBrokenConnection(createRequest("/popular", 1), true);
       fleet.at(0).recordBackendEnd({ instance: "i-1", proof: "replaced" });
       fleet.deliver();
-      expect(fleet.judge(ask("/popular"))).to.deep.equal(ALL("clear"));
-      fleet.end(0, [ask("/other")]);
+      expect(fleet.classify(createRequest("/popular"))).to.deep.equal(
+        atAll("clear"),
+      );
+      fleet.crash(0, [createRequest("/other")]);
       fleet.deliver();
-      expect(fleet.judge(ask("/other"))).to.deep.equal(ALL("suspect"));
+      expect(fleet.classify(createRequest("/other"))).to.deep.equal(
+        atAll("suspect"),
+      );
     });
   });
 
-  describe("before anybody knows of an end", () => {
-    it("runs alone what has lost a connection, until it is answered", () => {
-      const sentOn = ask("/beside", 1);
-      expect(fleet.at(1).classify(sentOn).kind).to.equal("suspect");
-      fleet.at(1).recordResponse(sentOn);
-      expect(fleet.at(1).classify(sentOn).kind).to.equal("clear");
+  describe("before a crash is known", () => {
+    it("suspects a request whose connection broke, until it gets a response", () => {
+      const retried = createRequest("/beside", 1);
+      expect(fleet.at(1).classify(retried).kind).to.equal("suspect");
+      fleet.at(1).recordResponse(retried);
+      expect(fleet.at(1).classify(retried).kind).to.equal("clear");
     });
 
-    it("clears it when the end is told after its answer", () => {
-      fleet.at(1).recordResponse(ask("/beside", 1));
-      fleet.end(0, [ask("/beside")]);
+    it("clears it when the crash is reported after its response", () => {
+      fleet.at(1).recordResponse(createRequest("/beside", 1));
+      fleet.crash(0, [createRequest("/beside")]);
       fleet.deliver();
-      expect(fleet.judge(ask("/beside"))).to.deep.equal(ALL("clear"));
+      expect(fleet.classify(createRequest("/beside"))).to.deep.equal(
+        atAll("clear"),
+      );
     });
   });
 
-  describe("when a second server has ended under a suspect", () => {
+  describe("when a second server has crashed under a suspect", () => {
     const quarantine = () => {
-      fleet.end(0, [ask("/lethal"), ask("/beside")]);
+      fleet.crash(0, [createRequest("/lethal"), createRequest("/beside")]);
       fleet.deliver();
-      fleet.end(1, [ask("/lethal")], true);
+      fleet.crash(1, [createRequest("/lethal")], true);
       fleet.deliver();
     };
 
     it("quarantines it at all daemons", () => {
       quarantine();
-      expect(fleet.judge(ask("/lethal"))).to.deep.equal(ALL("quarantined"));
-      expect(fleet.judge(ask("/beside"))).to.deep.equal(ALL("suspect"));
+      expect(fleet.classify(createRequest("/lethal"))).to.deep.equal(
+        atAll("quarantined"),
+      );
+      expect(fleet.classify(createRequest("/beside"))).to.deep.equal(
+        atAll("suspect"),
+      );
     });
 
-    it("does so at daemons that start again, and at those that heard nothing", () => {
-      fleet.end(0, [ask("/lethal")]);
-      fleet.end(1, [ask("/lethal", 1)], true);
+    it("quarantines it at restarted daemons, and at those that missed the reports", () => {
+      fleet.crash(0, [createRequest("/lethal")]);
+      fleet.crash(1, [createRequest("/lethal", 1)], true);
       fleet.sent.splice(0);
       fleet.restart(0);
-      fleet.nowMs += RETELLING_MS;
+      fleet.nowMs += REPEAT_WAIT_MS;
       fleet.daemons.forEach((daemon) => daemon.tick());
       fleet.deliver();
-      expect(fleet.judge(ask("/lethal"))).to.deep.equal(ALL("quarantined"));
+      expect(fleet.classify(createRequest("/lethal"))).to.deep.equal(
+        atAll("quarantined"),
+      );
     });
 
-    it("clears it everywhere once it is answered, though it is still retold", () => {
+    it("clears it everywhere once it gets a response, although it is still reported", () => {
       quarantine();
-      fleet.nowMs += RETELLING_MS;
+      fleet.nowMs += REPEAT_WAIT_MS;
       fleet.daemons.forEach((daemon) => daemon.tick());
-      fleet.at(2).recordResponse(ask("/lethal"));
+      fleet.at(2).recordResponse(createRequest("/lethal"));
       fleet.deliver((sent) => [...sent].reverse());
-      expect(fleet.judge(ask("/lethal"))).to.deep.equal(ALL("clear"));
+      expect(fleet.classify(createRequest("/lethal"))).to.deep.equal(
+        atAll("clear"),
+      );
     });
   });
 });
--- a/packages/router/src/routed_request.ts
+++ b/packages/router/src/routed_request.ts
@@ -6,7 +6,9 @@
 import type { Cancellation } from "./cancellation.ts";
 import type { ResponseHeaders } from "./exchange.ts";
 
-/** A request to be sent to a backend server. Times are on the steady clock of the daemon that holds it, in milliseconds. */
+/**
+ * A request to be sent to a backend server. Times are on the steady clock of the daemon that holds it, in milliseconds.
+ */
 export interface RoutedRequest {
   readonly id: string;
   readonly service: string;
