--- a/packages/router/src/attempt_history_test.ts
+++ b/packages/router/src/attempt_history_test.ts
@@ -54,9 +54,9 @@
 
   describe("when a retry gets a response", () => {
     it("returns that response", () => {
-      const answer: Outcome = { ...FAILURE, status: 200 };
-      expect(endAfter(unknown("connection_lost"), answer).outcome)
-        .to.equal(answer);
+      const response: Outcome = { ...FAILURE, status: 200 };
+      expect(endAfter(unknown("connection_lost"), response).outcome)
+        .to.equal(response);
     });
   });
 
--- a/packages/router/src/ingress.ts
+++ b/packages/router/src/ingress.ts
@@ -578,13 +578,13 @@
     if (response.destroyed || response.headersSent) {
       return;
     }
-    const own = this.context.protocol.write(outcome, request?.id);
-    response.writeHead(own.status, {
-      ...own.headers,
-      "content-length": Buffer.byteLength(own.body),
+    const routerResponse = this.context.protocol.write(outcome, request?.id);
+    response.writeHead(routerResponse.status, {
+      ...routerResponse.headers,
+      "content-length": Buffer.byteLength(routerResponse.body),
       ...this.connectionHeader(response),
     });
-    response.end(own.body);
+    response.end(routerResponse.body);
   }
 
   /**
--- a/packages/router/src/local_backend.ts
+++ b/packages/router/src/local_backend.ts
@@ -483,7 +483,7 @@
   ): Outcome {
     const { result, connection } = completed;
     if (result.kind === "answer") {
-      return this.toResponseOutcome(request, { answer: result, connection });
+      return this.toResponseOutcome(request, { response: result, connection });
     }
     this.connections.discard(connection);
     if (result.kind === "unsent") {
@@ -499,12 +499,15 @@
   private toResponseOutcome(
     request: RoutedRequest,
     completed: {
-      answer: Extract<ExchangeResult, { kind: "answer" }>;
+      response: Extract<ExchangeResult, { kind: "answer" }>;
       connection: Connection;
     },
   ): Outcome {
-    const { answer, connection } = completed;
-    const verdict = this.context.protocol.classifyResponse(answer, request.id);
+    const { response, connection } = completed;
+    const verdict = this.context.protocol.classifyResponse(
+      response,
+      request.id,
+    );
     if (verdict === "foreign") {
       // The right response may still follow on this connection, and must not be matched to another request.
       this.connections.discard(connection);
@@ -513,7 +516,7 @@
     }
     this.connections.release(connection);
     if (verdict === "answer") {
-      return { ...answer, headers: selectResponseHeaders(answer.headers) };
+      return { ...response, headers: selectResponseHeaders(response.headers) };
     }
     if (verdict === "wrong_instance") {
       this.context.onSuspicion("wrong_instance");
--- a/packages/router/src/request_quarantine.ts
+++ b/packages/router/src/request_quarantine.ts
@@ -132,7 +132,7 @@
   /**
    * Records that the connection to the local backend server broke while it ran a request.
    *
-   * @param isOnProbation whether the request was the only suspect that it ran.
+   * @param isOnProbation whether the request ran as the only suspect there.
    */
   recordBrokenConnection(request: RoutedRequest, isOnProbation: boolean): void {
     if (this.hasCrashed) {
