--- a/packages/quarantine/src/choose_probation_daemon.ts
+++ b/packages/quarantine/src/choose_probation_daemon.ts
@@ -1,13 +1,17 @@
 /**
- * Chooses where a suspect runs.
+ * Chooses the daemon at which a suspect request runs.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 
 /**
- * Chooses one of some daemons for a request; all daemons that know the same ones choose the same. Without this, copies of
- * a lethal request that come at the same time would each end a server before the first end is known.
+ * Chooses one of the given daemons for a request by rendezvous hashing, so all daemons that have the same list choose the
+ * same one. Otherwise copies of a poison request that arrive at the same time would each crash a server before the first
+ * crash is known.
+ *
+ * @param addresses the addresses of the daemons, in any order.
+ * @returns one of the addresses; undefined if there are none.
  */
 export function chooseProbationDaemon(
   fingerprint: string,
--- a/packages/quarantine/src/lost_runs.ts
+++ b/packages/quarantine/src/lost_runs.ts
@@ -1,33 +1,34 @@
 /**
- * Collects what a backend server ran when it ended.
+ * Collects the requests that a backend server was running when it crashed.
  *
  * @module
  */
 
 /**
- * The connections of a server that ends break within this time, in milliseconds: at once, and are read over a few turns
- * of a daemon's loop.
+ * All connections of a crashing server break within this time, in milliseconds: they break at once, and a daemon reads
+ * the closes over a few turns of its event loop.
  */
-const TOGETHER_MS = 100;
-/** How long the proof that a server has ended may take to come, in milliseconds: the restart of one on a busy host. */
-const PROOF_MS = 10_000;
+const SAME_CRASH_WINDOW_MS = 100;
+/** How long it may take to establish that a server has crashed, in milliseconds: its restart on a busy host. */
+const MAX_PROOF_DELAY_MS = 10_000;
 const MAX_RUNS = 64;
 
-/** A request whose connection to the backend server broke before its answer was whole. */
+/** A request whose connection to the backend server broke before its response was complete. */
 export interface LostRun {
   readonly requestId: string;
-  /** Names the request by what it asks. */
+  /** Identifies the request by its content. */
   readonly fingerprint: string;
-  /** Whether it ran as the only one under suspicion there. */
+  /** Whether it ran as the only suspect on that server. */
   readonly isOnProbation: boolean;
   /** When the connection broke, on the daemon's clock. */
   readonly lostAtMs: number;
 }
 
 /**
- * Lost runs of one backend server of which it is not known yet whether the server ended, or just a connection of it.
+ * Lost runs of one backend server for which it is not known yet whether the server crashed or only a connection broke.
  *
- * A connection also breaks when a network resets it or a server breaks off an answer; then others are answered after.
+ * A connection also breaks when the network resets it or the server aborts a response; other requests are still answered
+ * after that.
  */
 export class LostRuns {
   private runs: LostRun[] = [];
@@ -39,25 +40,27 @@
     return new LostRuns();
   }
 
-  /** Notes a run whose connection broke. */
+  /** Records a run whose connection broke. */
   recordLost(run: LostRun): void {
     this.runs = [...this.runs, run].slice(-MAX_RUNS);
   }
 
-  /** Notes an answer: the server has outlived the runs that were lost well before. */
+  /** Records a response: the server has survived the runs that were lost well before it. */
   recordAnswered(nowMs: number): void {
     this.runs = this.runs.filter(({ lostAtMs }) =>
-      nowMs - lostAtMs <= TOGETHER_MS
+      nowMs - lostAtMs <= SAME_CRASH_WINDOW_MS
     );
   }
 
-  /** The server has ended: returns what it ran then, and forgets all. */
+  /** Returns the runs that were lost when the server crashed, and clears the collection. */
   takeRunsAtCrash(nowMs: number): readonly LostRun[] {
     const { runs } = this;
-    const lastMs = runs.at(-1)?.lostAtMs ?? -Infinity;
+    const lastLostAtMs = runs.at(-1)?.lostAtMs ?? -Infinity;
     this.runs = [];
-    return nowMs - lastMs > PROOF_MS
+    return nowMs - lastLostAtMs > MAX_PROOF_DELAY_MS
       ? []
-      : runs.filter(({ lostAtMs }) => lastMs - lostAtMs <= TOGETHER_MS);
+      : runs.filter(({ lostAtMs }) =>
+        lastLostAtMs - lostAtMs <= SAME_CRASH_WINDOW_MS
+      );
   }
 }
--- a/packages/quarantine/src/mod.ts
+++ b/packages/quarantine/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Decides which requests are kept from backend servers, because servers ended under them. Pure.
+ * Decides which requests are withheld from backend servers because servers crashed while running them. Pure.
  *
  * @module
  */
--- a/packages/quarantine/src/poison_request_tracker.ts
+++ b/packages/quarantine/src/poison_request_tracker.ts
@@ -1,12 +1,12 @@
 /**
  * Tracks requests that crash the backend servers that run them.
  *
- * Guards against a request that crashes every server it reaches and is retried under new ids, and against keeping sound
- * requests from servers: they run beside it, and servers also crash for other reasons.
+ * Guards against a request that crashes every server it reaches and is retried under new ids. Harmless requests must not be
+ * withheld: they run concurrently with such a request, and servers also crash for other reasons.
  *
- * A request that ran when a server crashed is a suspect: until it is answered it runs alone among suspects. It is
- * quarantined if a further server crashes under it while it is the only one there, or if it alone was there at several
- * crashes. An answer clears it.
+ * A request that was running when a server crashed is a suspect: until it is answered, it runs with no other suspect on the
+ * same server. It is quarantined if another server crashes while it is the only suspect there, or if it is the only request
+ * that was running at several crashes. A response clears it.
  *
  * @module
  */
@@ -14,55 +14,58 @@
 
 /** How a request may be run. */
 export type RequestClassification =
-  /** As any other. */
+  /** Without restrictions. */
   | { readonly kind: "clear" }
-  /** With no other suspect beside it on the same server. */
+  /** With no other suspect on the same server at the same time. */
   | { readonly kind: "suspect" }
-  /** Not at all for now. */
+  /** Not at all for the next `remainingMs` milliseconds. */
   | { readonly kind: "quarantined"; readonly remainingMs: number };
 
-/** What daemons tell each other of a request under which servers crashed. */
+/** What daemons send each other about a request that was running when servers crashed. */
 export interface CrashReport {
-  /** Names the request by what it asks. */
+  /** Identifies the request by its content. */
   readonly fingerprint: string;
-  /** Identities of the crashes. */
+  /** Ids of the crashes. */
   readonly crashes: readonly number[];
-  /** How often the request was quarantined. */
+  /** How many times the request was quarantined. */
   readonly quarantines: number;
-  /** For how long nobody may run it, in milliseconds; 0 for a suspect. */
+  /** For how long it must not run on any server, in milliseconds; 0 for a suspect. */
   readonly remainingMs: number;
 }
 
-/** The crash of the server beside a daemon. */
+/** The crash of a daemon's local backend server. */
 export interface ServerCrash {
-  /** Identifies the crash among all daemons, so that it counts once however often it is told. */
+  /** Unique among all daemons, so that a crash counts once however often it is reported. */
   readonly id: number;
-  /** What the server ran then. */
+  /** The requests that the server was running when it crashed. */
   readonly runs: readonly LostRun[];
 }
 
-/** What follows from a crash. */
+/** What a crash changed. */
 export interface CrashOutcome {
-  /** For all daemons to know. */
+  /** Reports to send to all daemons. */
   readonly reports: readonly CrashReport[];
-  /** Requests that were answered before; all daemons are to know that, too. */
+  /** Requests that were answered before the crash; to be announced to all daemons as well. */
   readonly cleared: readonly string[];
 }
 
-/** Crashes that quarantine a request which alone was there each time. Sound requests are retried once at most. */
+/** A request that alone was running at so many crashes is quarantined. Harmless requests are retried once at most. */
 const CRASHES_TO_QUARANTINE = 3;
 /** Upper bound on remembered crashes of one request. */
 const MAX_CRASHES = 16;
-/** Longer than servers take to come back and become warm. */
+/** Length of the first quarantine: longer than servers take to restart and warm up. */
 const FIRST_QUARANTINE_MS = 30_000;
-/** Each further quarantine is longer by this factor. */
+/** Each further quarantine of a request is longer than the previous one by this factor. */
 const QUARANTINE_GROWTH = 4;
 const MAX_QUARANTINE_MS = 86_400_000;
-/** Jitter that keeps daemons from ending a quarantine, and losing a server each, at the same moment. */
-const MAX_DELAY_SHARE = 0.5;
-/** Suspects not seen again for this long are dropped. */
+/**
+ * Jitter, as a share of the quarantine's length: daemons must not all end a quarantine at the same time and each lose a
+ * server.
+ */
+const MAX_JITTER_RATIO = 0.5;
+/** Suspects that do not occur again for this long are dropped. */
 const SUSPECT_TTL_MS = 60_000;
-/** An answer protects a request from late reports for this long. */
+/** A response protects a request from delayed crash reports for this long. */
 const CLEARED_TTL_MS = 60_000;
 /** Upper bound on tracked requests. */
 const MAX_TRACKED_REQUESTS = 1_024;
@@ -70,34 +73,34 @@
 interface Entry {
   readonly crashes: ReadonlySet<number>;
   readonly quarantines: number;
-  /** Until when nobody may run it. */
+  /** Until when it must not run on any server. */
   readonly expiresAtMs: number;
-  /** How much longer this daemon waits. */
-  readonly delayMs: number;
+  /** How much longer the quarantine lasts at this daemon. */
+  readonly jitterMs: number;
   readonly forgetAtMs: number;
 }
 
 const CLEAR: RequestClassification = { kind: "clear" };
 const SUSPECT: RequestClassification = { kind: "suspect" };
 
-/** The suspects and quarantined requests that one daemon knows. */
+/** The suspects and quarantined requests known to one daemon. */
 export class PoisonRequestTracker {
   private readonly entries = new Map<string, Entry>();
-  /** When requests were answered that were suspects, or might become some. */
-  private readonly answers = new Map<string, number>();
+  /** When requests were last answered that are or may become suspects, by fingerprint. */
+  private readonly answeredAtMs = new Map<string, number>();
 
   private constructor(private readonly random: () => number) {}
 
   /**
    * Creates an empty tracker.
    *
-   * @param random draws a number from 0 up to 1.
+   * @param random returns a number from 0 (inclusive) to 1 (exclusive).
    */
   static create(random: () => number): PoisonRequestTracker {
     return new PoisonRequestTracker(random);
   }
 
-  /** Whether nothing is suspected, as nearly always. */
+  /** Whether there are no suspects, which is nearly always the case. */
   get isEmpty(): boolean {
     return this.entries.size === 0;
   }
@@ -109,60 +112,61 @@
     ).length;
   }
 
-  /** How a request may be run. */
+  /** Returns whether and how a request may run. */
   classify(fingerprint: string, nowMs: number): RequestClassification {
     const entry = this.find(fingerprint, nowMs);
     if (entry === undefined) {
       return CLEAR;
     }
-    const remainingMs = entry.expiresAtMs + entry.delayMs - nowMs;
+    const remainingMs = entry.expiresAtMs + entry.jitterMs - nowMs;
     return remainingMs > 0 ? { kind: "quarantined", remainingMs } : SUSPECT;
   }
 
-  /** Whether a request was answered not long ago. */
+  /** Whether a request was answered recently enough to be protected from crash reports. */
   isCleared(fingerprint: string, nowMs: number): boolean {
-    return nowMs - (this.answers.get(fingerprint) ?? -Infinity) <
+    return nowMs - (this.answeredAtMs.get(fingerprint) ?? -Infinity) <
       CLEARED_TTL_MS;
   }
 
-  /** Records the crash of the server beside this daemon. */
+  /** Records the crash of the local backend server; returns what to send to the other daemons. */
   recordCrash({ id, runs }: ServerCrash, nowMs: number): CrashOutcome {
     const suspects = runs.filter(({ fingerprint }) =>
       !this.isCleared(fingerprint, nowMs)
     );
-    const proven = this.findProven(suspects, nowMs);
-    const suspected = unique(suspects);
-    suspected.forEach((fingerprint) =>
+    const provenFingerprint = this.findProvenFingerprint(suspects, nowMs);
+    const fingerprints = uniqueFingerprints(suspects);
+    fingerprints.forEach((fingerprint) =>
       this.addCrashes(fingerprint, [id], nowMs)
     );
-    suspected.filter((fingerprint) =>
-      fingerprint === proven || this.isAloneAtCrashes(fingerprint)
+    fingerprints.filter((fingerprint) =>
+      fingerprint === provenFingerprint || this.isAloneAtCrashes(fingerprint)
     ).forEach((fingerprint) => this.quarantine(fingerprint, nowMs));
     return {
-      reports: suspected.flatMap((fingerprint) =>
+      reports: fingerprints.flatMap((fingerprint) =>
         this.describe(fingerprint, nowMs)
       ).map((report) => ({ ...report, crashes: [id] })),
-      cleared: unique(runs).filter((fingerprint) =>
+      cleared: uniqueFingerprints(runs).filter((fingerprint) =>
         this.isCleared(fingerprint, nowMs)
       ),
     };
   }
 
   /**
-   * Records what another daemon reports; returns which of it is news, and what was answered meanwhile.
+   * Records the reports of another daemon; returns those that contain new information, and the requests that have been
+   * answered in the meantime.
    *
-   * A quarantine is not extended by repeated reports of it, which are delayed on their way.
+   * Repeated reports do not extend a quarantine: they are delayed on the network.
    */
   recordReports(
     reports: readonly CrashReport[],
     nowMs: number,
   ): { newReports: readonly CrashReport[]; cleared: readonly string[] } {
-    const [cleared, standing] = [true, false].map((isCleared) =>
+    const [cleared, uncleared] = [true, false].map((isCleared) =>
       reports.filter(({ fingerprint }) =>
         this.isCleared(fingerprint, nowMs) === isCleared
       )
     );
-    const newReports = standing!.filter((report) =>
+    const newReports = uncleared!.filter((report) =>
       this.addReport(report, nowMs)
     );
     newReports.map(({ fingerprint }) => fingerprint)
@@ -174,13 +178,13 @@
     };
   }
 
-  /** Records that a server has answered a request; returns whether it was a suspect. */
+  /** Records that a server has answered a request; returns whether the request was a suspect. */
   recordResponse(fingerprint: string, nowMs: number): boolean {
-    this.remember(this.answers, fingerprint, nowMs);
+    this.setBounded(this.answeredAtMs, fingerprint, nowMs);
     return this.entries.delete(fingerprint);
   }
 
-  /** Quarantines, expired ones too, for daemons that have just started. */
+  /** Returns all known quarantines, including expired ones, for daemons that have just started. */
   findQuarantines(nowMs: number): CrashReport[] {
     return [...this.entries.keys()]
       .flatMap((fingerprint) => this.describe(fingerprint, nowMs))
@@ -194,30 +198,32 @@
         this.entries.delete(fingerprint);
       }
     });
-    this.answers.forEach((atMs, fingerprint) => {
-      if (nowMs - atMs >= CLEARED_TTL_MS) {
-        this.answers.delete(fingerprint);
+    this.answeredAtMs.forEach((recordedAtMs, fingerprint) => {
+      if (nowMs - recordedAtMs >= CLEARED_TTL_MS) {
+        this.answeredAtMs.delete(fingerprint);
       }
     });
   }
 
   /**
-   * The request that certainly crashed a server, if it was the only suspect there. Only one runs on probation at a time,
-   * so one that was lost later began after the crash. A copy of another suspect may have started before it was one.
+   * Returns the request that certainly crashed a server, if it was the only suspect there. Only one request runs on
+   * probation at a time, so one that was lost later was started after the crash. Another suspect may be running without
+   * probation if it was started before it became a suspect.
    */
-  private findProven(
+  private findProvenFingerprint(
     runs: readonly LostRun[],
     nowMs: number,
   ): string | undefined {
-    const first = runs.find(({ isOnProbation }) => isOnProbation)?.fingerprint;
-    const hasOther = runs.some(({ fingerprint, isOnProbation }) =>
-      !isOnProbation && fingerprint !== first &&
+    const onProbation = runs.find(({ isOnProbation }) => isOnProbation)
+      ?.fingerprint;
+    const hasOtherSuspect = runs.some(({ fingerprint, isOnProbation }) =>
+      !isOnProbation && fingerprint !== onProbation &&
       this.find(fingerprint, nowMs) !== undefined
     );
-    return hasOther ? undefined : first;
+    return hasOtherSuspect ? undefined : onProbation;
   }
 
-  /** Returns whether it is news. */
+  /** Returns whether the report contained new information. */
   private addReport(report: CrashReport, nowMs: number): boolean {
     const { fingerprint, crashes, quarantines, remainingMs } = report;
     const known = this.find(fingerprint, nowMs);
@@ -228,7 +234,7 @@
     this.addCrashes(fingerprint, crashes, nowMs);
     if (isNewQuarantine) {
       const expiresAtMs = nowMs + Math.min(remainingMs, MAX_QUARANTINE_MS);
-      this.enter(fingerprint, { quarantines, expiresAtMs });
+      this.setEntry(fingerprint, { quarantines, expiresAtMs });
     }
     return isNewQuarantine || hasNewCrash;
   }
@@ -241,7 +247,7 @@
     const known = this.find(fingerprint, nowMs);
     if (known === undefined) {
       this.entries.delete(fingerprint);
-      this.enter(fingerprint, { quarantines: 0, expiresAtMs: nowMs });
+      this.setEntry(fingerprint, { quarantines: 0, expiresAtMs: nowMs });
     }
     const entry = this.entries.get(fingerprint)!;
     const crashes = [...new Set([...entry.crashes, ...added])].slice(
@@ -251,8 +257,8 @@
   }
 
   /**
-   * Whether a request that was never quarantined was there at enough crashes, and no other one was at as many of these.
-   * Crashes before a quarantine may be reported after it; they are no reason for another one.
+   * Whether a request that was never quarantined was running at enough crashes, and no other request was running at as many
+   * of them. Crashes before a quarantine may be reported after it; they must not cause another one.
    */
   private isAloneAtCrashes(fingerprint: string): boolean {
     const entry = this.entries.get(fingerprint);
@@ -269,32 +275,32 @@
       );
   }
 
-  /** Quarantines a request, unless it is quarantined: a run that began before may still crash a server. */
+  /** Quarantines a request unless it already is: a run that was started before the quarantine may still crash a server. */
   private quarantine(fingerprint: string, nowMs: number): void {
     const entry = this.entries.get(fingerprint);
     if (entry !== undefined && entry.expiresAtMs <= nowMs) {
       const quarantines = entry.quarantines + 1;
-      const expiresAtMs = nowMs + quarantineMs(quarantines);
-      this.enter(fingerprint, { quarantines, expiresAtMs });
+      const expiresAtMs = nowMs + quarantineDurationMs(quarantines);
+      this.setEntry(fingerprint, { quarantines, expiresAtMs });
     }
   }
 
-  private enter(
+  private setEntry(
     fingerprint: string,
     quarantine: { quarantines: number; expiresAtMs: number },
   ): void {
     const { quarantines, expiresAtMs } = quarantine;
     const crashes = this.entries.get(fingerprint)?.crashes ?? new Set<number>();
-    const delayMs = quarantineMs(quarantines) * MAX_DELAY_SHARE *
+    const jitterMs = quarantineDurationMs(quarantines) * MAX_JITTER_RATIO *
       this.random();
-    // One that comes back only now and then must still find its crashes counted.
+    // The crashes of a request that occurs only rarely must still be counted when it occurs again.
     const forgetAtMs = expiresAtMs + SUSPECT_TTL_MS +
-      (quarantines === 0 ? 0 : quarantineMs(quarantines + 1));
-    this.remember(this.entries, fingerprint, {
+      (quarantines === 0 ? 0 : quarantineDurationMs(quarantines + 1));
+    this.setBounded(this.entries, fingerprint, {
       crashes,
       quarantines,
       expiresAtMs,
-      delayMs,
+      jitterMs,
       forgetAtMs,
     });
   }
@@ -314,8 +320,8 @@
     }];
   }
 
-  /** Keeps a map within its bound; the oldest goes first. */
-  private remember<T>(map: Map<string, T>, key: string, value: T): void {
+  /** Sets an entry and evicts the oldest one if the map exceeds its bound. */
+  private setBounded<T>(map: Map<string, T>, key: string, value: T): void {
     map.delete(key);
     map.set(key, value);
     if (map.size > MAX_TRACKED_REQUESTS) {
@@ -325,15 +331,15 @@
   }
 }
 
-/** How long the first, second, ... quarantine of a request lasts, in milliseconds. */
-function quarantineMs(ordinal: number): number {
+/** Returns the length of the first, second, ... quarantine of a request, in milliseconds; 0 for ordinal 0. */
+function quarantineDurationMs(ordinal: number): number {
   if (ordinal === 0) {
     return 0;
   }
-  const lengthMs = FIRST_QUARANTINE_MS * QUARANTINE_GROWTH ** (ordinal - 1);
-  return Math.min(MAX_QUARANTINE_MS, lengthMs);
+  const durationMs = FIRST_QUARANTINE_MS * QUARANTINE_GROWTH ** (ordinal - 1);
+  return Math.min(MAX_QUARANTINE_MS, durationMs);
 }
 
-function unique(runs: readonly LostRun[]): string[] {
+function uniqueFingerprints(runs: readonly LostRun[]): string[] {
   return [...new Set(runs.map(({ fingerprint }) => fingerprint))];
 }
--- a/packages/quarantine/src/probation_queue.ts
+++ b/packages/quarantine/src/probation_queue.ts
@@ -1,46 +1,47 @@
 /**
- * Lets suspects run one at a time on one backend server.
+ * Runs suspect requests one at a time on one backend server.
  *
  * @module
  */
 
 /**
- * The order of the suspects at one server. When a server ends, what it ran is suspected together, and is sent to the
- * same few servers again; run side by side there, all would be blamed for the next end.
+ * The first-in, first-out queue of suspects at one server. When a server crashes, all requests that it was running become
+ * suspects together and are retried at the same few servers; if they ran concurrently there, all of them would be blamed
+ * for the next crash.
  */
 export class ProbationQueue {
-  private current: number | undefined;
-  private waiting: number[] = [];
+  private runningId: number | undefined;
+  private waitingIds: number[] = [];
 
   private constructor() {}
 
-  /** Creates a lane that nobody is in. */
+  /** Creates an empty queue. */
   static create(): ProbationQueue {
     return new ProbationQueue();
   }
 
-  /** How many are before one that comes now. */
+  /** How many suspects a new one would have to wait for. */
   get length(): number {
-    return this.waiting.length + (this.current === undefined ? 0 : 1);
+    return this.waitingIds.length + (this.runningId === undefined ? 0 : 1);
   }
 
-  /** Lets a suspect in; returns whether it may run at once. */
+  /** Adds a suspect; returns whether it may run at once. */
   enter(id: number): boolean {
-    if (this.current === undefined) {
-      this.current = id;
+    if (this.runningId === undefined) {
+      this.runningId = id;
       return true;
     }
-    this.waiting.push(id);
+    this.waitingIds.push(id);
     return false;
   }
 
-  /** A suspect has run or has gone away; returns the one that may run now because of that. */
+  /** Removes a suspect that has run or was cancelled; returns the id of the one that may run now as a result, if any. */
   leave(id: number): number | undefined {
-    if (this.current !== id) {
-      this.waiting = this.waiting.filter((other) => other !== id);
+    if (this.runningId !== id) {
+      this.waitingIds = this.waitingIds.filter((other) => other !== id);
       return undefined;
     }
-    this.current = this.waiting.shift();
-    return this.current;
+    this.runningId = this.waitingIds.shift();
+    return this.runningId;
   }
 }
--- a/packages/quarantine/src/recent_responses.ts
+++ b/packages/quarantine/src/recent_responses.ts
@@ -1,5 +1,5 @@
 /**
- * Remembers what a backend server has answered lately.
+ * Remembers which requests a backend server has answered recently.
  *
  * @module
  */
@@ -8,42 +8,42 @@
   type RequestContent,
 } from "./request_fingerprint.ts";
 
-/** So many answers are remembered: a few seconds of a busy server. */
-const COUNT = 256;
-/** Requests with larger bodies are not remembered, in bytes: their bodies would stay in memory. */
-const LARGEST_BODY_BYTES = 4_096;
+/** How many answered requests are remembered: a few seconds of a busy server. */
+const MAX_REQUESTS = 256;
+/** Requests with larger bodies are not remembered, in bytes, because their bodies would stay in memory. */
+const MAX_BODY_BYTES = 4_096;
 
 /**
- * The last answers of one process of a backend server. What that process has answered did not end it: without this, what
- * many callers ask for would be suspected at every end, since it is always under way.
+ * The requests that one process of a backend server answered last. A request that the process has answered did not crash
+ * it; without this, a popular request would become a suspect at every crash, because it is always in flight.
  *
- * Requests are named only when a server has ended. To name each costs a hash, which thousands of requests a second would
- * pay for an event of once a day.
+ * Fingerprints are computed only after a crash: each costs a hash, which thousands of requests per second would pay for
+ * an event that occurs once a day.
  */
 export class RecentResponses {
   private contents: RequestContent[] = [];
-  private at = 0;
+  private nextIndex = 0;
 
   private constructor() {}
 
-  /** Creates an empty memory. */
+  /** Creates an empty record. */
   static create(): RecentResponses {
     return new RecentResponses();
   }
 
-  /** Notes an answered request. */
+  /** Records an answered request. */
   record(content: RequestContent): void {
-    if ((content.body?.length ?? 0) <= LARGEST_BODY_BYTES) {
-      this.contents[this.at] = content;
-      this.at = (this.at + 1) % COUNT;
+    if ((content.body?.length ?? 0) <= MAX_BODY_BYTES) {
+      this.contents[this.nextIndex] = content;
+      this.nextIndex = (this.nextIndex + 1) % MAX_REQUESTS;
     }
   }
 
-  /** The process has ended: names what it had answered, and forgets it. */
+  /** Returns the fingerprints of the recorded requests, and clears the record; called when the process has ended. */
   takeFingerprints(): ReadonlySet<string> {
     const { contents } = this;
     this.contents = [];
-    this.at = 0;
+    this.nextIndex = 0;
     return new Set(contents.map(fingerprintRequest));
   }
 }
