--- a/packages/connections/src/caller_connection.ts
+++ b/packages/connections/src/caller_connection.ts
@@ -1,5 +1,5 @@
 /**
- * One connection of an HTTP server, and how it ends.
+ * One connection of an HTTP server, and how it is closed.
  *
  * @module
  */
@@ -7,109 +7,118 @@
 import type { Socket } from "node:net";
 
 /**
- * How long a connection is kept after its last byte was handed to the system, in milliseconds, unless the caller closes
- * it: four times what 100 kB take on a link of 10 Mbit/s. Many callers leave the closing to the server, and a daemon that
- * stops is away for so much longer.
+ * How long a connection is kept open after its last byte was handed to the operating system, in milliseconds, unless the
+ * caller closes it first: four times the time that 100 kB take on a link of 10 Mbit/s. Many callers leave closing to the
+ * server, and each of them delays the restart of a stopping daemon by this time.
  */
-const LINGER_MS = 300;
+const LINGER_TIMEOUT_MS = 300;
 
-/** Whoever connects sends within this time, as a rule, in milliseconds; callers are within a few milliseconds. */
-const FRESH_MS = 100;
+/**
+ * How long the first bytes of a new connection are waited for, in milliseconds. Callers are a few milliseconds away and
+ * usually send within this time.
+ */
+const FIRST_BYTE_TIMEOUT_MS = 100;
 
-/** A head of which nothing more comes is waited for so long, in milliseconds: a lost packet is sent again by then. */
-const STALLED_MS = 1_000;
+/** How long the rest of a partial request is waited for, in milliseconds: a lost packet is retransmitted by then. */
+const STALL_TIMEOUT_MS = 1_000;
 
 /** One connection. */
 export class CallerConnection {
-  /** Answers that the system has not taken whole yet, in the order of their requests. */
-  private readonly pending = new Set<ServerResponse>();
-  private isLast = false;
+  /** Responses not yet handed completely to the operating system, in the order of their requests. */
+  private readonly openResponses = new Set<ServerResponse>();
+  private hasLastResponse = false;
   private hasRejected = false;
-  /** Bytes that had been read when the last answer had left, or the last request had come whole. */
-  private readBytes = 0;
-  /** Bytes that had been read at the latest look, and since when they are as many. */
-  private looked: { bytes: number; sinceMs: number };
+  /** Bytes read when the last response was sent, or when the last request was complete. */
+  private handledBytes = 0;
+  /** Bytes read at the last check, and when that number last changed. */
+  private lastCheck: { bytes: number; changedAtMs: number };
 
   private constructor(private readonly socket: Socket, nowMs: number) {
-    this.looked = { bytes: 0, sinceMs: nowMs };
-    // The HTTP server calls this after the last answer of a connection.
+    this.lastCheck = { bytes: 0, changedAtMs: nowMs };
+    // The HTTP server calls this after the last response of a connection.
     socket.destroySoon = () => this.end();
   }
 
-  /** Takes over a connection that has just come. */
+  /** Manages a connection that was just accepted. */
   static create(socket: Socket, nowMs: number): CallerConnection {
     return new CallerConnection(socket, nowMs);
   }
 
-  /** Whether nothing that comes from now on is answered. */
+  /** Whether requests received from now on are not answered. */
   get isEnding(): boolean {
-    return this.isLast;
+    return this.hasLastResponse;
   }
 
-  /** Bytes of answers that wait in the process. */
+  /** Bytes of responses that are buffered in the process. */
   get unsentBytes(): number {
     return this.socket.writableLength;
   }
 
-  /** How many requests have not been answered whole yet. */
+  /** How many requests do not have a complete response yet. */
   get pendingResponses(): number {
-    return this.pending.size;
+    return this.openResponses.size;
   }
 
-  /** The answer that is written next is the last. */
+  /** Makes the response that is written next the last one of the connection. */
   closeAfterNextResponse(): void {
-    this.isLast = true;
+    this.hasLastResponse = true;
   }
 
-  /** A request has come, and is going to be answered. */
+  /** Tracks a request that was received and is going to be answered. */
   trackRequest(incoming: IncomingMessage, response: ServerResponse): void {
-    const noteRead = () => {
-      this.readBytes = this.socket.bytesRead;
+    const updateHandledBytes = () => {
+      this.handledBytes = this.socket.bytesRead;
     };
-    this.pending.add(response);
-    // A response may be marked as the last while its request is taken; what comes behind it then could not be answered.
-    this.isLast = !response.shouldKeepAlive;
-    // A body may come after its answer; taken for a further request, it would keep the connection busy for good.
-    incoming.once("close", noteRead);
+    this.openResponses.add(response);
+    // Handling a request may mark its response as the last one; requests behind it could then not be answered.
+    this.hasLastResponse = !response.shouldKeepAlive;
+    // A body may arrive after the response; counted as a further request, it would keep the connection busy forever.
+    incoming.once("close", updateHandledBytes);
     response.once("close", () => {
-      this.pending.delete(response);
-      noteRead();
+      this.openResponses.delete(response);
+      updateHandledBytes();
     });
   }
 
   /**
-   * Whether a request, an answer or bytes are under way, also where a request has come in part or may be on its way, and
-   * where the caller has yet to close. Has to be asked again and again: it notices by that when bytes stop coming.
+   * Whether a request, a response or bytes are in flight. A partial or expected request counts, and so does a connection
+   * that the caller has yet to close. Must be called periodically: that is how it detects that no more bytes arrive.
    */
   isBusy(nowMs: number): boolean {
-    return this.pending.size > 0 || this.isLast || this.unsentBytes > 0 ||
-      this.isExpected(nowMs);
+    return this.openResponses.size > 0 || this.hasLastResponse ||
+      this.unsentBytes > 0 ||
+      this.isRequestExpected(nowMs);
   }
 
   /**
-   * Says that nothing more comes and leaves the closing to the caller for a while. A connection that is closed with
-   * unread bytes, as of a request sent ahead, is reset, and a reset drops what the caller has not received yet.
+   * Closes the sending side, and closes the connection if the caller does not do so within the linger timeout. A
+   * connection that is closed with unread bytes, such as those of a pipelined request, is reset, and a reset discards
+   * what the caller has not received yet.
    */
   end(): void {
     const { socket } = this;
-    this.isLast = true;
+    this.hasLastResponse = true;
     socket.end(() => {
-      const timer = setTimeout(() => socket.destroy(), LINGER_MS);
+      const timer = setTimeout(() => socket.destroy(), LINGER_TIMEOUT_MS);
       socket.once("close", () => clearTimeout(timer));
     });
   }
 
-  /** The same, and what comes from now on stays unread: its caller may send it elsewhere, even if it may run once only. */
+  /**
+   * Like `end`, but leaves what arrives from now on unread: its caller may then send it elsewhere, even if it must not run
+   * twice.
+   */
   endUnread(): void {
     this.socket.pause();
     this.end();
   }
 
   /**
-   * Ends the connection because of bytes that can't be read. Requests before them are answered first, and the status is
-   * left out then: their callers would take it for the answer to the first of them.
+   * Closes the connection because of bytes that the parser rejected. Requests before them are answered first, and the
+   * error status is not sent then: the caller would take it for the response to the first of them.
    *
-   * @returns whether they are the first such bytes; the parser tells of each further piece.
+   * @param status status code and reason phrase, such as `400 Bad Request`.
+   * @returns whether these are the first such bytes; the parser reports each further chunk again.
    */
   rejectUnreadable(status: string): boolean {
     const isFirst = !this.hasRejected;
@@ -122,7 +131,7 @@
 
   private endUnreadable(status: string): void {
     const { socket } = this;
-    const last = [...this.pending].at(-1);
+    const last = [...this.openResponses].at(-1);
     if (last === undefined) {
       this.writeRejection(status);
     } else if (socket.readableEnded) {
@@ -134,16 +143,16 @@
     }
   }
 
-  /** The body of this request can't be read, so nobody else answers it. */
+  /** Answers a request whose body is malformed; its handler never gets to the end of the body, so it does not answer. */
   private answerRejected(response: ServerResponse, status: string): void {
-    this.isLast = true;
+    this.hasLastResponse = true;
     response.shouldKeepAlive = false;
     response.writeHead(Number.parseInt(status), { "content-length": "0" });
     response.end();
   }
 
   private writeRejection(status: string): void {
-    if (this.isLast) {
+    if (this.hasLastResponse) {
       return;
     }
     const headers = "Connection: close\r\nContent-Length: 0";
@@ -152,24 +161,24 @@
   }
 
   private endAfter(response: ServerResponse): void {
-    this.isLast = true;
+    this.hasLastResponse = true;
     if (response.headersSent) {
-      // Its head has not said that the connection ends with it.
+      // Its headers are already sent, without `connection: close`.
       response.once("close", () => this.end());
     } else {
       response.shouldKeepAlive = false;
     }
   }
 
-  /** Whether the rest of a request may come soon. The request of a new connection lies right behind its opening. */
-  private isExpected(nowMs: number): boolean {
+  /** Whether more bytes of a request are likely to arrive soon. A new connection is followed immediately by its request. */
+  private isRequestExpected(nowMs: number): boolean {
     const { bytesRead } = this.socket;
-    if (bytesRead !== this.looked.bytes) {
-      this.looked = { bytes: bytesRead, sinceMs: nowMs };
+    if (bytesRead !== this.lastCheck.bytes) {
+      this.lastCheck = { bytes: bytesRead, changedAtMs: nowMs };
     }
-    const quietMs = nowMs - this.looked.sinceMs;
+    const idleMs = nowMs - this.lastCheck.changedAtMs;
     return bytesRead === 0
-      ? quietMs < FRESH_MS
-      : bytesRead > this.readBytes && quietMs < STALLED_MS;
+      ? idleMs < FIRST_BYTE_TIMEOUT_MS
+      : bytesRead > this.handledBytes && idleMs < STALL_TIMEOUT_MS;
   }
 }
--- a/packages/connections/src/mod.ts
+++ b/packages/connections/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Ends the connections of an HTTP server without cutting answers.
+ * Closes the connections of an HTTP server without truncating responses.
  *
  * @module
  */
--- a/packages/connections/src/server_connections.ts
+++ b/packages/connections/src/server_connections.ts
@@ -1,9 +1,10 @@
 /**
- * The connections of one HTTP server, and how they end.
+ * The connections of one HTTP server, and how they are closed.
  *
- * An answer is not delivered when `response.end` has been called: its bytes may wait in the process, in the system or on
- * the network. Node.js takes a connection for idle from that call on, and destroys a connection right after its last byte
- * was handed to the system. Both cut answers that leave slowly, which callers notice as bodies that end too soon.
+ * A response is not delivered yet when `response.end` has been called: its bytes may still be buffered in the process, in
+ * the operating system or in the network. Node.js treats a connection as idle from that call on, and destroys a connection
+ * right after its last byte was handed to the operating system. Both truncate responses that are sent slowly, and callers
+ * receive incomplete bodies.
  *
  * @module
  */
@@ -11,7 +12,7 @@
 import { Server as ConnectionServer, type Socket } from "node:net";
 import { CallerConnection } from "./caller_connection.ts";
 
-/** Statuses for input that the parser rejects, by its code; others are `400 Bad Request`. */
+/** Statuses for input that the parser rejects, by error code; others are `400 Bad Request`. */
 const UNREADABLE_STATUSES: Readonly<Record<string, string>> = {
   HPE_HEADER_OVERFLOW: "431 Request Header Fields Too Large",
   HPE_CHUNK_EXTENSIONS_OVERFLOW: "413 Payload Too Large",
@@ -19,16 +20,17 @@
 };
 const BAD_REQUEST = "400 Bad Request";
 
-/** Bytes that are no request, or a request that ended before it was whole. */
+/** Bytes that are not a request, or a request that ended before it was complete. */
 export interface UnreadableInput {
-  /** What the parser found wrong. */
+  /** Error code of the parser. */
   readonly code: string;
-  /** How many requests before it on its connection are under way. */
+  /** How many earlier requests on the same connection are not fully answered yet. */
   readonly pendingResponses: number;
 }
 
-/** What is told of connections. */
+/** Callbacks for events of connections. */
 export interface ConnectionListeners {
+  /** Called once per connection. */
   readonly onUnreadable?: (input: UnreadableInput) => void;
 }
 
@@ -43,7 +45,7 @@
     server.on("connection", (socket: Socket) => this.accept(socket));
     server.on(
       "request",
-      (incoming, response) => this.noteRequest(incoming, response),
+      (incoming, response) => this.trackRequest(incoming, response),
     );
     server.on(
       "clientError",
@@ -51,7 +53,7 @@
     );
   }
 
-  /** Watches the connections of a server from now on, after the listener that takes its requests was added. */
+  /** Tracks the connections of a server. Must be called after the server's request listener was added. */
   static create(
     server: Server,
     listeners: ConnectionListeners = {},
@@ -59,20 +61,21 @@
     return new ServerConnections(server, listeners);
   }
 
-  /** How many connections have a request, an answer or bytes under way. */
+  /** How many connections have a request, a response or bytes in flight. */
   get busyCount(): number {
     const nowMs = performance.now();
     return this.all.filter((connection) => connection.isBusy(nowMs)).length;
   }
 
-  /** Bytes of answers that wait in the process. */
+  /** Bytes of responses that are buffered in the process. */
   get unsentBytes(): number {
     return this.all.reduce((sum, { unsentBytes }) => sum + unsentBytes, 0);
   }
 
   /**
-   * Whether a request came behind the last answer of its connection, so that it must not be run: nobody could be told.
-   * Its body is read and dropped: with unread bytes the connection would be reset, and the last answer cut.
+   * Returns whether a request arrived after the last response of its connection. Such a request must not be run, because
+   * its response could not be sent. Its body is read and discarded: with unread bytes the connection would be reset, and
+   * the last response truncated.
    */
   discardAfterLastResponse(incoming: IncomingMessage): boolean {
     const isEnding = this.connections.get(incoming.socket)?.isEnding === true;
@@ -82,19 +85,22 @@
     return isEnding;
   }
 
-  /** The answer that is written next on a connection is its last. */
+  /** Makes the response that is written next on a connection its last one. */
   closeAfterNextResponse(socket: Socket): void {
     this.connections.get(socket)?.closeAfterNextResponse();
   }
 
-  /** Takes no new connections; `close` of an HTTP server would cut those whose answers have not left. */
+  /**
+   * Stops accepting connections. `close` of an HTTP server would also close connections whose responses have not been
+   * sent.
+   */
   stopListening(): void {
     ConnectionServer.prototype.close.call(this.server);
   }
 
   /**
-   * Ends the connections on which nothing is under way. They stay for a moment: the system may still hold bytes of an
-   * answer, which a request sent ahead to a closed connection would cut.
+   * Ends the connections that have nothing in flight. They linger for a moment: the operating system may still hold bytes
+   * of a response, which a pipelined request to a closed connection would truncate.
    */
   closeIdle(): void {
     const nowMs = performance.now();
@@ -126,7 +132,7 @@
     }
   }
 
-  private noteRequest(
+  private trackRequest(
     incoming: IncomingMessage,
     response: ServerResponse,
   ): void {
--- a/packages/connections/src/server_connections_test.ts
+++ b/packages/connections/src/server_connections_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of how connections of an HTTP server end when callers read slowly.
+ * Tests of how connections of an HTTP server are closed when callers read slowly.
  *
  * @module
  */
@@ -17,23 +17,23 @@
   type UnreadableInput,
 } from "./server_connections.ts";
 
-/** More than a caller that reads nothing takes, and less than the system keeps for it, in bytes. */
-const ANSWER_BYTES = 1_000_000;
-/** More than the system keeps for a caller that reads nothing, in bytes. */
+/** More than is received for a caller that does not read, and less than the operating system buffers, in bytes. */
+const RESPONSE_BYTES = 1_000_000;
+/** More than the operating system buffers for a caller that does not read, in bytes. */
 const UNSENT_BYTES = 32_000_000;
-/** More than Node.js reads of a body that nobody wants, in bytes. */
+/** More than Node.js reads of a body that has no reader, in bytes. */
 const BODY_BYTES = 300_000;
 
-/** How much of what comes a caller keeps, in characters. */
+/** How much of the received text a caller keeps, in characters. */
 const TEXT_LENGTH = 500;
-const NO_REQUEST = "\u0001 no request\r\n\r\n";
+const MALFORMED_BYTES = "\u0001 no request\r\n\r\n";
 
 type Handle = (incoming: IncomingMessage, response: ServerResponse) => void;
 
-/** A caller that reads when the test says so. */
+/** A caller that reads only when the test tells it to. */
 class Caller {
   bytes = 0;
-  /** The first bytes that came. */
+  /** The first bytes received, as text. */
   text = "";
   isEnded = false;
 
@@ -57,7 +57,7 @@
     return new Caller(socket);
   }
 
-  /** Sends the head of a request, or bytes of a body. */
+  /** Sends the headers of a request, or bytes of a body. */
   async send(bytes: string | Buffer): Promise<void> {
     await new Promise<void>((resolve) =>
       this.socket.write(bytes, () => resolve())
@@ -70,13 +70,13 @@
     await until(() => this.isEnded);
   }
 
-  /** Reads until so many bytes have come. */
+  /** Reads until at least `bytes` bytes have been received. */
   async read(bytes: number): Promise<void> {
     this.socket.resume();
     await until(() => this.isEnded || this.bytes >= bytes);
   }
 
-  /** Ends the own side; answers may still come. */
+  /** Closes the sending side; responses can still be received. */
   end(): void {
     this.socket.end();
   }
@@ -86,17 +86,17 @@
   }
 }
 
-async function until(isSo: () => boolean): Promise<void> {
-  while (!isSo()) {
+async function until(condition: () => boolean): Promise<void> {
+  while (!condition()) {
     await sleep(5);
   }
 }
 
-function createHead(method: string, path: string, bytes: number): string {
+function createHeaders(method: string, path: string, bytes: number): string {
   return `${method} ${path} HTTP/1.1\r\nhost: shop.example\r\ncontent-length: ${bytes}\r\n\r\n`;
 }
 
-describe("connections of a server", function () {
+describe("ServerConnections", function () {
   this.timeout(10_000);
   let server: Server;
   let connections: ServerConnections;
@@ -126,112 +126,117 @@
     server.close();
   });
 
-  describe("with a request that has a body behind the last answer", () => {
-    // A request that comes behind the last answer of a connection was left alone, and with it its body: Node.js stops
-    // reading once 16 kB of a body lie unwanted. The caller's end of the connection was not seen, the connection was
-    // closed 1 s later with the rest of the body unread, and that reset dropped 804 of 1,000 kB of the answer.
-    it("deliver all of the answer", async () => {
+  describe("with a request that has a body after the last response", () => {
+    // Guards against a truncated response: the body of a request after the last response was not read, and Node.js stops
+    // reading after 16 kB of an unread body. The caller's end of the connection was not seen, the connection was closed
+    // 1 s later with the rest of the body unread, and that reset discarded 804 of 1,000 kB of the response.
+    it("delivers the complete response", async () => {
       handle = (incoming, response) => {
         if (connections.discardAfterLastResponse(incoming)) {
           return;
         }
         connections.closeAfterNextResponse(incoming.socket);
         response.writeHead(200, {
-          "content-length": ANSWER_BYTES,
+          "content-length": RESPONSE_BYTES,
           connection: "close",
         });
-        response.end(Buffer.alloc(ANSWER_BYTES));
+        response.end(Buffer.alloc(RESPONSE_BYTES));
       };
-      await caller.send(createHead("GET", "/large", 0));
+      await caller.send(createHeaders("GET", "/large", 0));
       await until(() =>
         connections.busyCount === 1 && connections.unsentBytes === 0
       );
-      await caller.send(createHead("POST", "/behind", BODY_BYTES));
+      await caller.send(createHeaders("POST", "/behind", BODY_BYTES));
       await caller.send(Buffer.alloc(BODY_BYTES));
       await until(() => connections.busyCount === 0);
       await caller.readToEnd();
-      expect(caller.bytes).to.be.greaterThan(ANSWER_BYTES);
+      expect(caller.bytes).to.be.greaterThan(RESPONSE_BYTES);
     });
   });
 
-  describe("with an answer that went before the body of its request", () => {
-    // A request that is refused for its head alone is answered while its body is on the way. The bytes of that body
-    // looked like a further request that has come in part, so the connection counted as busy for good, and a daemon that
-    // was asked to stop waited for it until its grace period had passed.
-    it("have nothing under way once the body has come", async () => {
-      let hasCome = false;
+  describe("with a response that was sent before the body of its request arrived", () => {
+    // Guards against a connection that stays busy forever: a request rejected by its headers is answered while its body is
+    // still being sent. The body was counted as a partial further request, and a stopping daemon waited for the connection
+    // until its grace period expired.
+    it("has nothing in flight once the body has arrived", async () => {
+      let hasBodyArrived = false;
       handle = (incoming, response) => {
         incoming.once("end", () => {
-          hasCome = true;
+          hasBodyArrived = true;
         });
         response.writeHead(503, { "content-length": "0" });
         response.end();
       };
-      await caller.send(createHead("POST", "/refused", BODY_BYTES));
+      await caller.send(createHeaders("POST", "/refused", BODY_BYTES));
       await caller.read(1);
       await caller.send(Buffer.alloc(BODY_BYTES));
-      await until(() => hasCome);
+      await until(() => hasBodyArrived);
       // The request closes in the turn after its end.
       await sleep(20);
       expect(connections.busyCount).to.equal(0);
     });
   });
 
-  describe("that are idle and whose caller sends again", () => {
-    // An idle connection was closed at once. Its answer was still on its way to a slow caller, which sent the next
-    // request ahead; that came to a closed connection, and the reset dropped 804 of 1,000 kB of the answer.
-    it("deliver all of the answer", async () => {
+  describe("with an idle connection whose caller sends again", () => {
+    // Guards against a truncated response: an idle connection was closed at once while its response was still being
+    // received by a slow caller. The caller's next, pipelined request reached a closed connection, and the reset discarded
+    // 804 of 1,000 kB of the response.
+    it("delivers the complete response", async () => {
       handle = (_incoming, response) => {
-        response.writeHead(200, { "content-length": ANSWER_BYTES });
-        response.end(Buffer.alloc(ANSWER_BYTES));
+        response.writeHead(200, { "content-length": RESPONSE_BYTES });
+        response.end(Buffer.alloc(RESPONSE_BYTES));
       };
-      let hasLeft = false;
+      let hasResponseClosed = false;
       server.on("request", (_incoming, response) => {
         response.once("close", () => {
-          hasLeft = true;
+          hasResponseClosed = true;
         });
       });
-      await caller.send(createHead("GET", "/large", 0));
-      await until(() => hasLeft && connections.busyCount === 0);
+      await caller.send(createHeaders("GET", "/large", 0));
+      await until(() => hasResponseClosed && connections.busyCount === 0);
       connections.closeIdle();
-      await caller.send(createHead("GET", "/ahead", 0));
+      await caller.send(createHeaders("GET", "/ahead", 0));
       await sleep(50);
       await caller.readToEnd();
-      expect(caller.bytes).to.be.greaterThan(ANSWER_BYTES);
+      expect(caller.bytes).to.be.greaterThan(RESPONSE_BYTES);
     });
   });
 
-  describe("with a request behind one that ends the connection", () => {
-    // A stopping daemon marked the response of each request that came as its connection's last, and still ran what came
-    // behind it before that answer had left. An order was run so, and its caller had to take it for unread.
-    it("leave it unread", async () => {
-      const taken: ServerResponse[] = [];
+  describe("with a request after one that ends the connection", () => {
+    // Guards against running a request that its caller must assume unread: a stopping daemon marked the response of each
+    // request as the last one of its connection, and still ran requests that arrived before that response was sent. An
+    // order was run in this way.
+    it("does not run it", async () => {
+      const handledResponses: ServerResponse[] = [];
       handle = (incoming, response) => {
         if (connections.discardAfterLastResponse(incoming)) {
           return;
         }
-        taken.push(response);
+        handledResponses.push(response);
         response.shouldKeepAlive = false;
       };
       let read = 0;
       server.on("request", () => {
         read += 1;
       });
-      await caller.send(createHead("GET", "/last", 0));
+      await caller.send(createHeaders("GET", "/last", 0));
       await until(() => read === 1);
-      await caller.send(createHead("POST", "/behind", 0));
+      await caller.send(createHeaders("POST", "/behind", 0));
       await until(() => read === 2);
-      taken[0]!.end();
+      handledResponses[0]!.end();
       await caller.readToEnd();
-      expect(taken.map(({ req }) => req.url)).to.deep.equal(["/last"]);
+      expect(handledResponses.map(({ req }) => req.url)).to.deep.equal([
+        "/last",
+      ]);
     });
   });
 
-  describe("that came just before the listener closed", () => {
-    // The connections on which nothing is under way were ended in the same turn in which the listener closed. One had
-    // come in that turn, with its request right behind, so the request was read on an ended connection and never
-    // answered. Node.js itself counts a connection as idle only once it has brought a request.
-    it("have their request answered", async () => {
+  describe("with a connection accepted just before the listener closes", () => {
+    // Guards against a request that is never answered: idle connections were ended in the same turn of the event loop in
+    // which the listener closed. A connection accepted in that turn, immediately followed by its request, was ended too,
+    // so the request was read on an ended connection. Node.js itself treats a connection as idle only after its first
+    // request.
+    it("answers its request", async () => {
       handle = (incoming, response) => {
         if (!connections.discardAfterLastResponse(incoming)) {
           response.end("done");
@@ -241,67 +246,67 @@
         connections.stopListening();
         connections.closeIdle();
       });
-      const late = await Caller.create(server);
-      await late.send(createHead("GET", "/first", 0));
-      await late.read(1);
-      expect(late.bytes).to.be.greaterThan(0);
-      late.close();
+      const lateCaller = await Caller.create(server);
+      await lateCaller.send(createHeaders("GET", "/first", 0));
+      await lateCaller.read(1);
+      expect(lateCaller.bytes).to.be.greaterThan(0);
+      lateCaller.close();
     });
 
-    it("are ended soon if none comes", async () => {
+    it("closes it soon if no request arrives", async () => {
       server.once("connection", () => connections.stopListening());
-      const late = await Caller.create(server);
+      const lateCaller = await Caller.create(server);
       await until(() => {
         connections.closeIdle();
         return connections.busyCount === 0;
       });
-      await late.readToEnd();
-      expect(late.bytes).to.equal(0);
+      await lateCaller.readToEnd();
+      expect(lateCaller.bytes).to.equal(0);
     });
   });
 
-  describe("with bytes behind a request that can't be read", () => {
-    // Guards against a proper request that is ended by the 400 for what came behind it.
-    it("answer that request, and end with its answer", async () => {
-      const taken: ServerResponse[] = [];
-      handle = (_incoming, response) => void taken.push(response);
-      await caller.send(createHead("GET", "/proper", 0));
-      await until(() => taken.length === 1);
-      await caller.send(NO_REQUEST);
-      await caller.send(NO_REQUEST);
+  describe("with malformed bytes after a request", () => {
+    // Guards against a valid request that is aborted by the 400 for the bytes after it.
+    it("answers that request, and closes after its response", async () => {
+      const handledResponses: ServerResponse[] = [];
+      handle = (_incoming, response) => void handledResponses.push(response);
+      await caller.send(createHeaders("GET", "/proper", 0));
+      await until(() => handledResponses.length === 1);
+      await caller.send(MALFORMED_BYTES);
+      await caller.send(MALFORMED_BYTES);
       await until(() => unreadable.length > 0);
-      taken[0]!.end("done");
+      handledResponses[0]!.end("done");
       await caller.readToEnd();
       expect(caller.text).to.match(/^HTTP\/1\.1 200 OK\r\n/)
         .and.to.match(/\r\nConnection: close\r\n/)
         .and.to.match(/\r\n\r\ndone$/);
     });
 
-    // Guards against an answer that is cut because of what came behind its request.
-    it("deliver all of an answer that has begun", async () => {
+    // Guards against a response that is truncated because of the bytes after its request.
+    it("delivers all of a response that has begun", async () => {
       handle = (_incoming, response) => {
         response.writeHead(200, { "content-length": UNSENT_BYTES });
         response.end(Buffer.alloc(UNSENT_BYTES));
       };
-      await caller.send(createHead("GET", "/large", 0));
+      await caller.send(createHeaders("GET", "/large", 0));
       await until(() => connections.busyCount === 1);
-      await caller.send(NO_REQUEST);
+      await caller.send(MALFORMED_BYTES);
       await until(() => unreadable.length > 0);
       await caller.readToEnd();
       expect(caller.bytes).to.be.greaterThan(UNSENT_BYTES);
     });
   });
 
-  describe("whose caller ends its side within a further request", () => {
-    // Guards against a proper request that is ended by the 400 for what came behind it.
-    it("count as left, and write nothing", async () => {
+  describe("with a caller that closes its sending side within a further request", () => {
+    // Guards against a valid request that is answered with the 400 for the bytes after it.
+    it("treats the caller as disconnected, and writes nothing", async () => {
       let hasClosed = false;
       handle = (_incoming, response) => {
         response.once("close", () => {
           hasClosed = true;
         });
       };
-      await caller.send(createHead("GET", "/proper", 0) + "GET /part HT");
+      await caller.send(createHeaders("GET", "/proper", 0) + "GET /part HT");
       caller.end();
       await caller.readToEnd();
       await until(() => hasClosed);
@@ -309,16 +314,16 @@
     });
   });
 
-  describe("with bytes that can't be read and nothing before them", () => {
-    it("answer 400 and end", async () => {
-      await caller.send(NO_REQUEST);
+  describe("with malformed bytes and no request before them", () => {
+    it("answers 400 and closes", async () => {
+      await caller.send(MALFORMED_BYTES);
       await caller.readToEnd();
       expect(caller.text).to.match(/^HTTP\/1\.1 400 Bad Request\r\n/);
     });
   });
 
-  describe("with a request whose own body can't be read", () => {
-    const head =
+  describe("with a request whose body is malformed", () => {
+    const headers =
       "POST /cut HTTP/1.1\r\nhost: shop.example\r\ntransfer-encoding: chunked\r\n\r\n";
 
     beforeEach(() => {
@@ -329,39 +334,39 @@
       };
     });
 
-    // Guards against a request that is answered never, since the end of its body can't come any more.
-    it("answer 400 and end", async () => {
-      await caller.send(`${head}no size\r\n`);
+    // Guards against a request that is never answered because the end of its body can no longer arrive.
+    it("answers 400 and closes", async () => {
+      await caller.send(`${headers}no size\r\n`);
       await until(() => unreadable.length > 0);
       await caller.readToEnd();
       expect(caller.text).to.match(/^HTTP\/1\.1 400 Bad Request\r\n/);
     });
 
-    // Guards against a daemon that is asked to stop and waits for such a connection until its grace period has passed.
-    it("have nothing under way then", async () => {
-      await caller.send(`${head}no size\r\n`);
+    // Guards against a stopping daemon that waits for such a connection until its grace period expires.
+    it("has nothing in flight afterwards", async () => {
+      await caller.send(`${headers}no size\r\n`);
       await until(() => unreadable.length > 0);
       await until(() => connections.busyCount === 0);
     });
 
-    // Guards against a proper request that is answered as if its connection could be used again.
-    it("answer the request before it as the last", async () => {
-      await caller.send(createHead("GET", "/proper", 0));
-      await caller.send(`${head}no size\r\n`);
+    // Guards against a valid request that is answered as if its connection could be reused.
+    it("answers the request before it as the last one", async () => {
+      await caller.send(createHeaders("GET", "/proper", 0));
+      await caller.send(`${headers}no size\r\n`);
       await until(() => unreadable.length > 0);
       await caller.readToEnd();
       expect(caller.text).to.match(/^HTTP\/1\.1 200 OK\r\n/);
     });
   });
 
-  describe("whose caller goes on with bytes that can't be read", () => {
-    // Guards against a request that is counted once for each piece of what comes behind it.
-    it("tell of them once", async () => {
+  describe("with a caller that continues to send malformed bytes", () => {
+    // Guards against counting one request once per chunk of the bytes after it.
+    it("reports them once", async () => {
       handle = () => undefined;
-      await caller.send(createHead("GET", "/proper", 0));
-      await caller.send(NO_REQUEST);
+      await caller.send(createHeaders("GET", "/proper", 0));
+      await caller.send(MALFORMED_BYTES);
       await until(() => unreadable.length > 0);
-      await caller.send(NO_REQUEST);
+      await caller.send(MALFORMED_BYTES);
       await sleep(50);
       expect(unreadable.map(({ code }) => code)).to.deep.equal([
         "HPE_INVALID_METHOD",
@@ -369,11 +374,11 @@
     });
   });
 
-  describe("with a head of which no more comes", () => {
-    // A part of a head, or a stray line end behind a request, made a connection busy until its next answer. One caller
-    // that had stopped in the middle of a head held a stopping daemon, whose listener was closed, until its grace period
-    // had passed.
-    it("are ended after a while", async () => {
+  describe("with a partial request of which no more arrives", () => {
+    // Guards against a stopping daemon that is held up until its grace period expires by one caller that stopped in the
+    // middle of its headers: partial headers, or a stray line break after a request, kept a connection busy until its next
+    // response.
+    it("closes it after a timeout", async () => {
       await caller.send("GET /part HTT");
       await until(() => connections.busyCount === 1);
       await until(() => {
