--- a/packages/router/src/connection_pool.ts
+++ b/packages/router/src/connection_pool.ts
@@ -1,13 +1,13 @@
 /**
- * The connections to one peer.
+ * A pool of connections to one peer.
  *
  * @module
  */
 import { Connection } from "./exchange.ts";
 
 /**
- * Reuses the connection that was used last: those that are not needed grow old and are left out, and
- * the one in use is the least likely to have been forgotten by the other side.
+ * Reuses the most recently used connection first: surplus connections become idle long enough to be closed, and the most
+ * recently used one is the least likely to have been closed by the peer.
  */
 export class ConnectionPool {
   private idle: Connection[] = [];
@@ -15,49 +15,49 @@
 
   private constructor(private readonly peer: string) {}
 
-  /** Creates a pool without connections. */
+  /** Creates an empty pool. */
   static create(peer: string): ConnectionPool {
     return new ConnectionPool(peer);
   }
 
   /**
-   * Takes a connection.
+   * Returns an idle connection, or a new one if none may be reused.
    *
-   * @param reuse how long a connection may have been idle; older ones are closed.
+   * @param reuse the current time, and how long a connection may have been idle, in milliseconds.
    */
   acquire(reuse: { nowMs: number; maxIdleMs: number }): Connection {
-    const isFresh = (connection: Connection) =>
+    const isReusable = (connection: Connection) =>
       reuse.nowMs - connection.lastUsedAtMs <= reuse.maxIdleMs;
-    const last = this.idle.at(-1);
-    if (last !== undefined && isFresh(last)) {
+    const mostRecent = this.idle.at(-1);
+    if (mostRecent !== undefined && isReusable(mostRecent)) {
       this.idle.pop();
-      this.busy.add(last);
-      return last;
+      this.busy.add(mostRecent);
+      return mostRecent;
     }
     const created = Connection.create(this.peer);
     this.busy.add(created);
     return created;
   }
 
-  /** Gives a connection back for reuse. */
+  /** Returns a connection to the pool for reuse. */
   release(connection: Connection): void {
     this.busy.delete(connection);
     this.idle.push(connection);
   }
 
-  /** Closes a connection that can't be trusted any more. */
+  /** Closes a connection whose state is unknown, such as after a failed exchange. */
   discard(connection: Connection): void {
     this.busy.delete(connection);
     void connection.destroy();
   }
 
-  /** Closes connections that were idle for longer than is reused. */
+  /** Closes connections that have been idle for longer than `maxIdleMs`. */
   prune(reuse: { nowMs: number; maxIdleMs: number }): void {
-    const old = this.idle.filter((connection) =>
+    const expired = this.idle.filter((connection) =>
       reuse.nowMs - connection.lastUsedAtMs > reuse.maxIdleMs
     );
-    this.idle = this.idle.filter((connection) => !old.includes(connection));
-    old.forEach((connection) => void connection.destroy());
+    this.idle = this.idle.filter((connection) => !expired.includes(connection));
+    expired.forEach((connection) => void connection.destroy());
   }
 
   /** Closes the idle connections. */
--- a/packages/router/src/exchange.ts
+++ b/packages/router/src/exchange.ts
@@ -1,5 +1,5 @@
 /**
- * One request and its whole answer on one connection.
+ * Sends one request over one HTTP connection and reads its complete response.
  *
  * @module
  */
@@ -7,28 +7,28 @@
 import { buildConnector, Client, type Dispatcher } from "undici";
 import type { Cancellation } from "./cancellation.ts";
 
-/** How long a new connection may take, in milliseconds. All peers are within a few milliseconds. */
+/** How long connecting may take, in milliseconds. All peers are a few milliseconds away. */
 const CONNECT_TIMEOUT_MS = 400;
-/** Statuses below this are informational: the answer is still to come. */
-const FIRST_FINAL_STATUS = 200;
-/** Answers up to this size are taken, in bytes; they are kept whole so that none is passed on in part. */
-const MAXIMUM_ANSWER_BYTES = 67_108_864;
+/** Statuses below this are informational (1xx): the final response is still to follow. */
+const MIN_FINAL_STATUS = 200;
+/** Largest accepted response body, in bytes. Responses are buffered completely, so that none is forwarded in part. */
+const MAX_RESPONSE_BYTES = 67_108_864;
 
-/** A request as it goes over a connection. */
+/** A request as it is sent over a connection. */
 export interface ExchangeRequest {
   readonly method: string;
   readonly target: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly headers: string[];
   readonly body: Buffer | undefined;
 }
 
-/** Headers of an answer, names in lower case. */
+/** Headers of a response, with names in lower case. */
 export type ResponseHeaders = Readonly<
   Record<string, string | string[] | undefined>
 >;
 
-/** What became of a request. */
+/** The result of sending a request. */
 export type ExchangeResult =
   | {
     readonly kind: "answer";
@@ -36,37 +36,38 @@
     readonly headers: ResponseHeaders;
     readonly body: Buffer;
     /**
-     * Whether the answer itself said where it ends. One that ends with its connection may have been cut
-     * without a trace, so it must be passed on in the same way and not as one that is known to be whole.
+     * Whether the response has its own framing (a length or chunks). One that is delimited by the end of its connection
+     * may have been truncated undetectably, so it must be forwarded in the same way and not as one that is known to be
+     * complete.
      */
     readonly isFramed: boolean;
   }
-  /** No byte of it was sent. `isRefused`: the address is there and nobody listens. */
+  /** No byte of it was sent. `isRefused`: the host is reachable, but no process listens on the port. */
   | {
     readonly kind: "unsent";
     readonly isRefused: boolean;
     readonly error: BamboolinkError;
   }
-  /** It was sent, and no whole answer came. */
+  /** It was sent, and no complete response was received. */
   | { readonly kind: "lost"; readonly error: BamboolinkError };
 
-/** How an exchange may end early. */
+/** Options of an exchange. */
 export interface ExchangeOptions {
-  /** Ends the exchange and its connection. */
+  /** Aborts the exchange and closes its connection. */
   readonly cancellation: Cancellation;
   readonly nowMs: () => number;
 }
 
-/** How the present connection of a client ended, if it did. */
+/** Whether and how the current connection of a client was closed. */
 interface ConnectionEnd {
   state: "open" | "ended" | "reset";
 }
 
 type Controller = Dispatcher.DispatchController;
 
-/** One connection that carries one request at a time; it connects anew by itself. */
+/** A connection that carries one request at a time; it reconnects automatically. */
 export class Connection {
-  private usedAtMs = -Infinity;
+  private lastExchangeAtMs = -Infinity;
 
   private constructor(
     private readonly client: Client,
@@ -74,25 +75,25 @@
     private readonly end: ConnectionEnd,
   ) {}
 
-  /** Creates a connection that connects with its first request. */
+  /** Creates a connection that is opened by its first request. */
   static create(peer: string): Connection {
     const end: ConnectionEnd = { state: "open" };
     const client = new Client(`http://${peer}`, {
       pipelining: 1,
-      connect: createConnector(end),
+      connect: createTrackingConnector(end),
       headersTimeout: 0,
       bodyTimeout: 0,
-      maxResponseSize: MAXIMUM_ANSWER_BYTES,
+      maxResponseSize: MAX_RESPONSE_BYTES,
     });
     return new Connection(client, peer, end);
   }
 
-  /** When the last request ended. */
+  /** When the last exchange ended, on the caller's clock. */
   get lastUsedAtMs(): number {
-    return this.usedAtMs;
+    return this.lastExchangeAtMs;
   }
 
-  /** Sends a request. It never throws. */
+  /** Sends a request; resolves with its result and never rejects. */
   exchange(
     request: ExchangeRequest,
     options: ExchangeOptions,
@@ -102,7 +103,7 @@
       const { cancellation, nowMs } = options;
       const handler = ExchangeHandler.create({ peer, end }, (result) => {
         cancellation.remove(cancel);
-        this.usedAtMs = nowMs();
+        this.lastExchangeAtMs = nowMs();
         resolve(result);
       });
       const cancel = () => {
@@ -142,9 +143,9 @@
   readonly end: ConnectionEnd;
 }
 
-/** Collects one answer. */
+/** Collects one response. */
 class ExchangeHandler {
-  private isSent = false;
+  private isRequestSent = false;
   private isDone = false;
   private status = 0;
   private headers: ResponseHeaders = {};
@@ -162,9 +163,9 @@
     return new ExchangeHandler(connection, settle);
   }
 
-  /** Called just before the first byte is written, never when no connection could be made. */
+  /** Called just before the first byte is written; not called if connecting failed. */
   onRequestStart(_controller: Controller): void {
-    this.isSent = true;
+    this.isRequestSent = true;
   }
 
   onResponseStart(
@@ -172,7 +173,7 @@
     status: number,
     headers: ResponseHeaders,
   ): void {
-    if (status >= FIRST_FINAL_STATUS) {
+    if (status >= MIN_FINAL_STATUS) {
       this.status = status;
       this.headers = headers;
     }
@@ -184,8 +185,10 @@
 
   onResponseEnd(): void {
     const { status, headers } = this;
-    if (!isWhole(headers, this.connection.end)) {
-      this.fail(new Error("the connection ended within the answer"));
+    if (!isComplete(headers, this.connection.end)) {
+      this.fail(
+        new Error("the connection was closed within the response body"),
+      );
       return;
     }
     const body = this.chunks.length === 1
@@ -199,25 +202,26 @@
     this.fail(cause);
   }
 
-  /** The caller has left or the time is up. */
+  /** Ends the exchange because its caller disconnected or its deadline passed. */
   cancel(): void {
     this.fail(new Error("cancelled"));
   }
 
   fail(cause: unknown): void {
     const details = { step: "exchange", peer: this.connection.peer, cause };
-    if (this.isSent) {
-      const message = "the connection ended before the answer was whole";
+    if (this.isRequestSent) {
+      const message =
+        "the connection was closed before the response was complete";
       this.finish({
         kind: "lost",
         error: BamboolinkError.create("unknown_effect", message, details),
       });
       return;
     }
-    const message = "no connection could be made";
+    const message = "could not connect to the peer";
     this.finish({
       kind: "unsent",
-      isRefused: codeOf(cause) === "ECONNREFUSED",
+      isRefused: errorCodeOf(cause) === "ECONNREFUSED",
       error: BamboolinkError.create("unreachable", message, details),
     });
   }
@@ -231,13 +235,13 @@
 }
 
 /**
- * Whether an answer that the client takes for whole is so.
+ * Whether a response that the HTTP client reports as complete really is.
  *
- * What goes wrong without it: the client takes what came before a reset, or before the end of the
- * connection, for the whole answer, and a caller gets half an answer that looks complete. Only an answer
- * without any framing ends with its connection, and only in good order.
+ * The client treats everything received before a reset, or before the end of the connection, as the complete response, so
+ * a caller would get a truncated response that looks complete. Only a response without framing may be delimited by the end
+ * of its connection, and only if the connection was closed without a reset.
  */
-function isWhole(headers: ResponseHeaders, end: ConnectionEnd): boolean {
+function isComplete(headers: ResponseHeaders, end: ConnectionEnd): boolean {
   switch (end.state) {
     case "open":
       return true;
@@ -248,13 +252,13 @@
   }
 }
 
-/** Connects, and notes how the connection ends before the client hears of it. */
-function createConnector(end: ConnectionEnd): buildConnector.connector {
+/** Creates a connector that records how a connection was closed before the client is notified of it. */
+function createTrackingConnector(end: ConnectionEnd): buildConnector.connector {
   const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
   return (options, callback) =>
     connect(options, (...[error, socket]) => {
       if (error !== null || !socket) {
-        callback(error ?? new Error("no connection"), null);
+        callback(error ?? new Error("no socket was created"), null);
         return;
       }
       end.state = "open";
@@ -268,7 +272,7 @@
     });
 }
 
-function codeOf(cause: unknown): string | undefined {
+function errorCodeOf(cause: unknown): string | undefined {
   return cause instanceof Error
     ? (cause as NodeJS.ErrnoException).code
     : undefined;
--- a/packages/router/src/exchange_test.ts
+++ b/packages/router/src/exchange_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of what is taken for a whole answer, against servers that write raw bytes.
+ * Tests of which responses are treated as complete, against servers that write raw bytes.
  *
  * @module
  */
@@ -8,16 +8,16 @@
 import { Cancellation } from "./cancellation.ts";
 import { Connection, type ExchangeResult } from "./exchange.ts";
 
-const HEAD = "HTTP/1.1 200 OK\r\n";
+const STATUS_LINE = "HTTP/1.1 200 OK\r\n";
 
-/** Sends one request to a server that treats its socket as told. */
+/** Sends one request to a server that calls `respond` with its socket when the request arrives. */
 async function exchangeWith(
-  treat: (socket: Socket) => void,
+  respond: (socket: Socket) => void,
   options: { acknowledgeMs?: number } = {},
 ): Promise<ExchangeResult> {
   const server = createServer((socket) => {
     socket.on("error", () => undefined);
-    socket.once("data", () => treat(socket));
+    socket.once("data", () => respond(socket));
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as AddressInfo;
@@ -36,10 +36,10 @@
 }
 
 describe("exchange", () => {
-  describe("when an answer has no length", () => {
-    it("takes it for whole when the connection ends in good order", async () => {
+  describe("when a response has no length", () => {
+    it("treats it as complete when the connection is closed without a reset", async () => {
       const result = await exchangeWith((socket) =>
-        socket.end(`${HEAD}connection: close\r\n\r\nwhole`)
+        socket.end(`${STATUS_LINE}connection: close\r\n\r\nwhole`)
       );
       expect(result.kind === "answer" && result.body.toString()).to.equal(
         "whole",
@@ -47,32 +47,31 @@
       expect(result.kind === "answer" && result.isFramed).to.equal(false);
     });
 
-    // Symptom: a caller gets a success whose body is cut short.
-    // Sequence: the backend server writes part of an answer without a length and crashes.
-    // Cause: the client took a reset for the end of the answer.
-    it("takes it for lost when the connection is reset", async () => {
+    // Guards against a success with a truncated body: the backend server wrote part of a response without a length and
+    // crashed, and the client treated the reset as the end of the response.
+    it("treats it as lost when the connection is reset", async () => {
       const result = await exchangeWith((socket) => {
-        socket.write(`${HEAD}connection: close\r\n\r\npart`);
+        socket.write(`${STATUS_LINE}connection: close\r\n\r\npart`);
         setTimeout(() => socket.resetAndDestroy(), 20);
       });
       expect(result.kind).to.equal("lost");
     });
   });
 
-  describe("when an answer comes in chunks", () => {
-    it("takes it for lost when the connection ends before the last chunk", async () => {
+  describe("when a response is chunked", () => {
+    it("treats it as lost when the connection is closed before the last chunk", async () => {
       const result = await exchangeWith((socket) =>
         socket.end(
-          `${HEAD}connection: close\r\ntransfer-encoding: chunked\r\n\r\n4\r\npart\r\n`,
+          `${STATUS_LINE}connection: close\r\ntransfer-encoding: chunked\r\n\r\n4\r\npart\r\n`,
         )
       );
       expect(result.kind).to.equal("lost");
     });
 
-    it("takes it for whole when the last chunk is there", async () => {
+    it("treats it as complete when the last chunk was received", async () => {
       const result = await exchangeWith((socket) =>
         socket.end(
-          `${HEAD}connection: close\r\ntransfer-encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n`,
+          `${STATUS_LINE}connection: close\r\ntransfer-encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n`,
         )
       );
       expect(result.kind === "answer" && result.body.toString()).to.equal(
@@ -81,24 +80,24 @@
     });
   });
 
-  describe("when an answer is shorter than it says", () => {
-    it("takes it for lost", async () => {
+  describe("when a response is shorter than its content length", () => {
+    it("treats it as lost", async () => {
       const result = await exchangeWith((socket) =>
-        socket.end(`${HEAD}content-length: 9\r\n\r\npart`)
+        socket.end(`${STATUS_LINE}content-length: 9\r\n\r\npart`)
       );
       expect(result.kind).to.equal("lost");
     });
   });
 
-  describe("when the bytes are no answer", () => {
-    it("takes it for lost", async () => {
+  describe("when the bytes are not a response", () => {
+    it("treats it as lost", async () => {
       const result = await exchangeWith((socket) => socket.end("garbage\r\n"));
       expect(result.kind).to.equal("lost");
     });
   });
 
-  describe("when nobody listens", () => {
-    it("knows that nothing was sent, and that the connection was refused", async () => {
+  describe("when no process listens on the port", () => {
+    it("reports that nothing was sent and the connection was refused", async () => {
       const connection = Connection.create("127.0.0.1:1");
       const result = await connection.exchange(
         { method: "GET", target: "/", headers: [], body: undefined },
@@ -109,17 +108,17 @@
     });
   });
 
-  describe("when the peer says nothing", () => {
-    it("gives up after the time in which it should have said that it has the request", async () => {
+  describe("when the peer does not answer at once", () => {
+    it("treats the request as lost if no response arrives before the timeout", async () => {
       const result = await exchangeWith(() => undefined, { acknowledgeMs: 30 });
       expect(result.kind).to.equal("lost");
     });
 
-    it("goes on waiting once it has said so", async () => {
+    it("keeps waiting after an informational response", async () => {
       const result = await exchangeWith((socket) => {
         socket.write("HTTP/1.1 102 Processing\r\n\r\n");
         setTimeout(
-          () => socket.write(`${HEAD}content-length: 5\r\n\r\nwhole`),
+          () => socket.write(`${STATUS_LINE}content-length: 5\r\n\r\nwhole`),
           80,
         );
       }, { acknowledgeMs: 30 });
--- a/packages/router/src/probe_backend.ts
+++ b/packages/router/src/probe_backend.ts
@@ -1,5 +1,5 @@
 /**
- * Asks at a backend server's address who is there.
+ * Determines which incarnation of a backend server listens at an address.
  *
  * @module
  */
@@ -9,10 +9,15 @@
 import { Connection } from "./exchange.ts";
 import type { BackendProtocol } from "./ports/backend_protocol.ts";
 
-/** How long the backend server may take to say which incarnation it is, in milliseconds. */
+/** How long the backend server may take to answer the health check, in milliseconds. */
 const PROBE_TIMEOUT_MS = 400;
 
-/** Asks by a health check, on a connection of its own. */
+/**
+ * Sends a health check on a separate connection.
+ *
+ * @returns the incarnation that answered, or whether the connection was refused; `silent` if there was no usable response
+ *   in time.
+ */
 export async function probeBackend(
   address: string,
   options: { protocol: BackendProtocol; healthPath: string },
