--- a/packages/router/src/frame_socket.ts
+++ b/packages/router/src/frame_socket.ts
@@ -1,5 +1,5 @@
 /**
- * One end of a link between two daemons: frames over a connection.
+ * One end of a link between two daemons: sends and receives frames over a connection.
  *
  * @module
  */
@@ -10,29 +10,29 @@
   type Frame,
   FRAME_KINDS,
   FrameReader,
-  GreetingHead,
+  HandshakeHead,
   LINK_FORMAT,
 } from "./link_codec.ts";
 
 /**
- * How long the other end may take to close a link that was ended, in milliseconds. It closes when it has read to the
- * end; a daemon that stops keeps 700 ms for closing.
+ * How long the other side may take to close a link that was ended, in milliseconds. It closes the link after it has read
+ * everything; a stopping daemon allows 700 ms for closing.
  */
-const LINGER_MS = 400;
+const LINGER_TIMEOUT_MS = 400;
 
-/** What one end of a link tells of. */
+/** Callbacks of one end of a link. */
 export interface FrameSocketEvents {
   readonly onFrame: (frame: Frame) => void;
-  /** Called once: nothing comes any more. */
+  /** Called once, when no further frames will be received. */
   readonly onEnd: (cause: BamboolinkError) => void;
 }
 
-/** Writes frames in batches, and reads them. */
+/** Writes frames in batches, and reads frames. */
 export class FrameSocket {
   private readonly reader = FrameReader.create();
-  private isGreeted = false;
+  private isHandshakeDone = false;
   private isEnded = false;
-  /** Frames of this turn of the event loop. */
+  /** Frames to be written at the end of this turn of the event loop. */
   private pending: Buffer[] = [];
 
   private constructor(
@@ -41,7 +41,7 @@
     private readonly events: FrameSocketEvents,
   ) {}
 
-  /** Takes over a connection that is open, or about to be. */
+  /** Manages a connection that is open or being opened; sends the handshake. */
   static create(
     socket: Socket,
     peer: string,
@@ -50,11 +50,14 @@
     const frames = new FrameSocket(socket, peer, events);
     socket.setNoDelay(true);
     socket.on("data", (bytes: Buffer) => frames.read(bytes));
-    socket.on("error", (cause) => frames.end("the link broke", cause));
-    socket.on("end", () => frames.end("the link was ended"));
+    socket.on(
+      "error",
+      (cause) => frames.end("connection error on the link", cause),
+    );
+    socket.on("end", () => frames.end("the peer ended the link"));
     socket.on("close", () => frames.end("the link was closed"));
     frames.write(encodeFrame({
-      kind: FRAME_KINDS.greeting,
+      kind: FRAME_KINDS.handshake,
       id: 0,
       head: [LINK_FORMAT],
     }));
@@ -62,9 +65,9 @@
   }
 
   /**
-   * Writes a frame. All frames of one turn of the event loop go out in one write: calls to the system
-   * are a good part of what a request costs. Nothing is written after the end: that would destroy the connection, and
-   * with it the answers that wait.
+   * Queues a frame. All frames of one turn of the event loop are sent in one write, because system calls are a
+   * considerable part of the cost of a request. Frames written after the link was ended are dropped: writing them would
+   * destroy the connection, and with it the responses that are still buffered.
    */
   write(bytes: Buffer): void {
     if (this.isEnded) {
@@ -76,20 +79,20 @@
     this.pending.push(bytes);
   }
 
-  /** Whether bytes wait in the process. */
+  /** Whether bytes are still buffered in the process. */
   get hasUnsent(): boolean {
     return this.pending.length > 0 || this.socket.writableLength > 0;
   }
 
   /**
-   * Writes what is left and ends the connection; resolves when it is closed. A process that ends sooner loses what
-   * waits in it, and resets the connection if the other end has just sent something.
+   * Writes the remaining frames and ends the connection; resolves when it is closed. A process that exits earlier loses
+   * the bytes that it has buffered, and resets the connection if the other side has just sent something.
    */
   finish(): Promise<void> {
     this.isEnded = true;
     this.flush();
     return new Promise((resolve) => {
-      const timer = setTimeout(() => this.socket.destroy(), LINGER_MS);
+      const timer = setTimeout(() => this.socket.destroy(), LINGER_TIMEOUT_MS);
       this.socket.once("close", () => {
         clearTimeout(timer);
         resolve();
@@ -98,7 +101,7 @@
     });
   }
 
-  /** Ends the connection at once, without a word to the owner. */
+  /** Closes the connection at once, without calling `onEnd`. */
   destroy(): void {
     this.isEnded = true;
     this.socket.destroy();
@@ -119,19 +122,19 @@
       return;
     }
     try {
-      this.reader.push(bytes).forEach((frame) => this.take(frame));
+      this.reader.push(bytes).forEach((frame) => this.receive(frame));
     } catch (cause) {
-      this.end("the link brought what can't be read", cause);
+      this.end("received malformed frames on the link", cause);
     }
   }
 
-  private take(frame: Frame): void {
-    if (this.isGreeted) {
+  private receive(frame: Frame): void {
+    if (this.isHandshakeDone) {
       this.events.onFrame(frame);
       return;
     }
-    GreetingHead.parse(frame.head);
-    this.isGreeted = true;
+    HandshakeHead.parse(frame.head);
+    this.isHandshakeDone = true;
   }
 
   private end(message: string, cause?: unknown): void {
--- a/packages/router/src/frame_socket_test.ts
+++ b/packages/router/src/frame_socket_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of one end of a link when it ends.
+ * Tests of one end of a link when it is ended.
  *
  * @module
  */
@@ -8,17 +8,17 @@
 import { FrameSocket } from "./frame_socket.ts";
 import { encodeFrame, FRAME_KINDS } from "./link_codec.ts";
 
-/** More than the buffers of both ends of a loopback connection hold, in bytes. */
+/** More than the buffers at both ends of a loopback connection hold, in bytes. */
 const LARGE_BYTES = 16_000_000;
-const { piece: kind } = FRAME_KINDS;
+const { chunk: kind } = FRAME_KINDS;
 
-describe("frame socket", () => {
-  describe("that is ended while an answer waits in it", () => {
-    // A daemon's grace period passed while a large answer waited in a link and another request of the same link was still
-    // being run. The link was ended in good order; then the second answer came and was written to it. Node.js takes a
-    // write after the end for an error and destroys the connection, with all that waits: none of 16 MB of the
-    // first answer came, and its caller was told that its request may have run.
-    it("writes nothing more, and cuts nothing", async () => {
+describe("FrameSocket", () => {
+  describe("that is ended while a response is still buffered", () => {
+    // Guards against losing a buffered response: a daemon's grace period expired while a large response was buffered for a
+    // link and another request of the same link was still running. The link was ended; then the second response was written
+    // to it. Node.js treats a write after the end as an error and destroys the connection with everything buffered: none of
+    // the 16 MB of the first response arrived, and its caller was told that its request may have run.
+    it("drops further frames without breaking the connection", async () => {
       const server = createServer();
       const accepted = new Promise<Socket>((resolve) =>
         server.once("connection", resolve)
@@ -46,7 +46,7 @@
       await finished;
       server.close();
       reader.destroy();
-      // The bytes that came are not counted: a busy machine may not read them within the pause that a stop allows.
+      // The received bytes are not counted: a busy machine may not read all of them within the linger timeout.
       expect(socket.errored).to.equal(null);
     });
   });
--- a/packages/router/src/link_client.ts
+++ b/packages/router/src/link_client.ts
@@ -1,5 +1,5 @@
 /**
- * The sending end of the link to one other daemon.
+ * The client side of the link to one other daemon: sends requests and receives their outcomes.
  *
  * @module
  */
@@ -16,42 +16,42 @@
 } from "./link_codec.ts";
 import type { Outcome, Work } from "./work.ts";
 
-/** How long a new connection may take, in milliseconds. All peers are within a few milliseconds. */
+/** How long connecting may take, in milliseconds. All peers are a few milliseconds away. */
 const CONNECT_TIMEOUT_MS = 400;
 
-/** Whoever waits for the outcome of one request. */
+/** Callbacks for one request. */
 export interface LinkListener {
-  /** The other daemon has said for the first time that it has the request. */
+  /** The other daemon has confirmed for the first time that it has received the request. */
   readonly onAcknowledged: () => void;
   readonly onOutcome: (outcome: Outcome, load: LoadReport) => void;
-  /** The other daemon has said nothing for longer than is usual. */
+  /** The other daemon has not acknowledged the request within the typical time. */
   readonly onUnresponsive: () => void;
-  /** No outcome will come. `isSent`: the other daemon may have the request. */
+  /** No outcome will be received. `isSent`: the other daemon may have received the request. */
   readonly onLost: (isSent: boolean, cause: BamboolinkError) => void;
 }
 
-/** One request that is under way. */
+/** One request in flight. */
 export interface LinkRequest {
   readonly id: number;
   readonly sentAtMs: number;
   readonly listener: LinkListener;
   isAcknowledged: boolean;
-  /** What has come of a large answer. */
+  /** The chunks of a large response received so far. */
   readonly chunks: Buffer[];
 }
 
-/** A connection that carries many requests at a time. */
+/** A connection that carries many requests concurrently. */
 export class LinkClient {
   private readonly requests = new Map<number, LinkRequest>();
-  /** Frames that wait for the connection; their requests are surely not sent. */
+  /** Frames that wait for the connection to open, by request id; their requests have certainly not been sent. */
   private readonly unsent = new Map<number, Buffer>();
   private isOpen = false;
-  private end: BamboolinkError | undefined;
+  private endCause: BamboolinkError | undefined;
   private lastId = 0;
-  private usedAtMs: number;
-  private heardMs = -Infinity;
+  private requestSentAtMs: number;
+  private frameReceivedAtMs = -Infinity;
   private readonly frames: FrameSocket;
-  private readonly connecting: NodeJS.Timeout;
+  private readonly connectTimer: NodeJS.Timeout;
 
   private constructor(peer: string, private readonly nowMs: () => number) {
     const colon = peer.lastIndexOf(":");
@@ -59,59 +59,61 @@
       host: peer.slice(0, colon),
       port: Number(peer.slice(colon + 1)),
     });
-    this.usedAtMs = nowMs();
+    this.requestSentAtMs = nowMs();
     this.frames = FrameSocket.create(socket, peer, {
-      onFrame: (frame) => this.take(frame),
-      onEnd: (cause) => this.lose(cause),
+      onFrame: (frame) => this.receive(frame),
+      onEnd: (cause) => this.fail(cause),
     });
     socket.once("connect", () => this.open());
-    this.connecting = setTimeout(() => {
+    this.connectTimer = setTimeout(() => {
       this.frames.destroy();
-      this.lose(BamboolinkError.create("unreachable", "no connection came up", {
-        step: "link.connect",
-        peer,
-      }));
+      this.fail(
+        BamboolinkError.create("unreachable", "timed out while connecting", {
+          step: "link.connect",
+          peer,
+        }),
+      );
     }, CONNECT_TIMEOUT_MS);
   }
 
-  /** Begins to connect. */
+  /** Creates a client and starts connecting to `peer`, an address of the form `host:port`. */
   static create(peer: string, nowMs: () => number): LinkClient {
     return new LinkClient(peer, nowMs);
   }
 
-  /** Whether requests can still be sent on it. */
+  /** Whether further requests can be sent on the link. */
   get isUsable(): boolean {
-    return this.end === undefined;
+    return this.endCause === undefined;
   }
 
-  /** Whether nothing is under way on it. */
+  /** Whether no request is in flight. */
   get isIdle(): boolean {
     return this.requests.size === 0;
   }
 
-  /** When a request was last sent. */
+  /** When a request was last sent, on the client's clock. */
   get lastUsedAtMs(): number {
-    return this.usedAtMs;
+    return this.requestSentAtMs;
   }
 
-  /** When anything last came from the other daemon. */
+  /** When a frame was last received from the other daemon, on the client's clock. */
   get lastReceivedAtMs(): number {
-    return this.heardMs;
+    return this.frameReceivedAtMs;
   }
 
-  /** Requests of which the other daemon has said nothing yet. */
+  /** Returns the requests that the other daemon has not acknowledged yet. */
   findUnacknowledged(): LinkRequest[] {
     return [...this.requests.values()].filter(({ isAcknowledged }) =>
       !isAcknowledged
     );
   }
 
-  /** Sends a request; its number names it from now on. */
-  send(work: Work, listener: LinkListener): number {
+  /** Sends a request; returns its id on this link. */
+  send(request: Work, listener: LinkListener): number {
     this.lastId += 1;
     const id = this.lastId;
     const sentAtMs = this.nowMs();
-    this.usedAtMs = sentAtMs;
+    this.requestSentAtMs = sentAtMs;
     this.requests.set(id, {
       id,
       sentAtMs,
@@ -119,7 +121,7 @@
       isAcknowledged: false,
       chunks: [],
     });
-    const bytes = encodeRequest(id, work, sentAtMs);
+    const bytes = encodeRequest(id, request, sentAtMs);
     if (this.isOpen) {
       this.frames.write(bytes);
     } else {
@@ -128,7 +130,7 @@
     return id;
   }
 
-  /** Gives up on a request; returns whether the other daemon may have it. */
+  /** Cancels a request; returns whether the other daemon may have received it. */
   cancel(id: number): boolean {
     if (!this.requests.delete(id)) {
       return false;
@@ -140,25 +142,25 @@
     return true;
   }
 
-  /** Ends the connection; whatever is under way is lost. */
+  /** Closes the connection; requests in flight are lost. */
   close(): void {
     this.frames.destroy();
-    this.lose(BamboolinkError.create("unreachable", "the link is closed", {
+    this.fail(BamboolinkError.create("unreachable", "the link is closed", {
       step: "link.close",
     }));
   }
 
   private open(): void {
-    clearTimeout(this.connecting);
+    clearTimeout(this.connectTimer);
     this.isOpen = true;
     this.unsent.forEach((bytes) => this.frames.write(bytes));
     this.unsent.clear();
   }
 
-  private take(frame: Frame): void {
-    this.heardMs = this.nowMs();
-    if (frame.kind === FRAME_KINDS.farewell) {
-      this.takeFarewell(frame.id);
+  private receive(frame: Frame): void {
+    this.frameReceivedAtMs = this.nowMs();
+    if (frame.kind === FRAME_KINDS.goAway) {
+      this.handleGoAway(frame.id);
       return;
     }
     const request = this.requests.get(frame.id);
@@ -169,7 +171,7 @@
       request.isAcknowledged = true;
       request.listener.onAcknowledged();
     }
-    if (frame.kind === FRAME_KINDS.piece) {
+    if (frame.kind === FRAME_KINDS.chunk) {
       request.chunks.push(frame.body);
     }
     if (frame.kind === FRAME_KINDS.outcome) {
@@ -183,27 +185,37 @@
   }
 
   /**
-   * The other daemon reads nothing any more. What goes wrong without it: a request that crosses the end
-   * of the connection looks as if it may have run, and one that may run once only fails for nothing.
+   * The other daemon reads no further requests. Without this frame, a request sent while the connection is being closed
+   * would count as one that may have run, and a non-idempotent request would fail although it could be retried.
    */
-  private takeFarewell(lastReadId: number): void {
-    this.end ??= BamboolinkError.create("unreachable", "the peer has stopped", {
-      step: "link.farewell",
-    });
-    const { end } = this;
-    this.drop([...this.requests.values()].filter(({ id }) => id > lastReadId), {
-      isSent: false,
-      cause: end,
-    });
+  private handleGoAway(lastReadId: number): void {
+    this.endCause ??= BamboolinkError.create(
+      "unreachable",
+      "the peer is stopping",
+      {
+        step: "link.farewell",
+      },
+    );
+    const { endCause } = this;
+    this.loseRequests(
+      [...this.requests.values()].filter(({ id }) => id > lastReadId),
+      {
+        isSent: false,
+        cause: endCause,
+      },
+    );
   }
 
-  private lose(cause: BamboolinkError): void {
-    clearTimeout(this.connecting);
-    this.end ??= cause;
-    this.drop([...this.requests.values()], { isSent: this.isOpen, cause });
+  private fail(cause: BamboolinkError): void {
+    clearTimeout(this.connectTimer);
+    this.endCause ??= cause;
+    this.loseRequests([...this.requests.values()], {
+      isSent: this.isOpen,
+      cause,
+    });
   }
 
-  private drop(
+  private loseRequests(
     requests: readonly LinkRequest[],
     loss: { isSent: boolean; cause: BamboolinkError },
   ): void {
--- a/packages/router/src/link_codec.ts
+++ b/packages/router/src/link_codec.ts
@@ -1,9 +1,9 @@
 /**
- * How requests and their outcomes travel over the link between two daemons: in frames, many requests at
- * a time. Times travel as what is left of them, since daemons have no clock in common.
+ * Encodes and decodes the frames in which requests and their outcomes are sent over the link between two daemons. A link
+ * carries many requests concurrently. Times are sent as remaining durations, because daemons have no common clock.
  *
- * A frame is its length (4 bytes), its kind (1), the number of the request (4), the length of its head
- * (4), the head as JSON, and a body as it is. Numbers are little-endian.
+ * A frame consists of its length (4 bytes), its kind (1), the request id (4), the length of its head (4), the head as JSON,
+ * and the raw body. Numbers are little-endian.
  *
  * @module
  */
@@ -12,34 +12,33 @@
 import type { ResponseHeaders } from "./exchange.ts";
 import type { Outcome, RefusalReason, UnknownReason, Work } from "./work.ts";
 
-/** What a frame says. */
+/** Kinds of frames. */
 export const FRAME_KINDS = {
-  /** The first frame of each side: which format follows. */
-  greeting: 1,
+  /** The first frame of each side: the format version. */
+  handshake: 1,
   request: 2,
-  /** The request has arrived and is being worked on. */
+  /** The request was received and is being processed. */
   acknowledgement: 3,
   outcome: 4,
-  /** The outcome is not wanted any more. */
+  /** The outcome is no longer needed. */
   cancellation: 5,
-  /** Nothing is read any more; its number is that of the last request that was. */
-  farewell: 6,
-  /** A piece of a large answer; the last one comes with the outcome. */
-  piece: 7,
+  /** The sender reads no further requests; the id is that of the last request that it has read. */
+  goAway: 6,
+  /** A chunk of a large response; the last chunk is the body of the outcome frame. */
+  chunk: 7,
 } as const;
 
-/** Grows when the meaning of a frame changes; links of another format are refused. */
+/** Format version; incremented when the meaning of a frame changes. Links with another version are refused. */
 export const LINK_FORMAT = 4;
-/** Length of the length itself, in bytes. */
+/** Size of the length field, in bytes. */
 const LENGTH_BYTES = 4;
-/** Kind, number and length of the head, in bytes. */
+/** Size of kind, id and head length, in bytes. */
 const PREFIX_BYTES = 9;
-/** The largest frame that is taken, in bytes: the largest body, and room for its head. */
-const MAXIMUM_FRAME_BYTES = 67_108_864 + 1_048_576;
+/** Largest accepted frame, in bytes: the largest body and space for its head. */
+const MAX_FRAME_BYTES = 67_108_864 + 1_048_576;
 
-const NOTHING = Buffer.alloc(0);
+const EMPTY_BODY = Buffer.alloc(0);
 
-/** One frame. */
 export interface Frame {
   readonly kind: number;
   readonly id: number;
@@ -47,8 +46,8 @@
   readonly body: Buffer;
 }
 
-/** The head of a greeting. */
-export const GreetingHead = z.tuple([z.literal(LINK_FORMAT)]);
+/** The head of a handshake. */
+export const HandshakeHead = z.tuple([z.literal(LINK_FORMAT)]);
 
 /** The head of a request. */
 export const RequestHead = z.tuple([
@@ -59,22 +58,24 @@
   z.boolean().describe("whether it is idempotent"),
   z.int().nullable().describe("key"),
   z.string().describe("service of the caller"),
-  z.int().describe("time left to the objective, in milliseconds"),
-  z.int().describe("time left to the deadline, in milliseconds"),
-  z.boolean().describe("whether it may be served late"),
-  z.int().min(0).describe("connections that broke under it before"),
+  z.int().describe("remaining time to the latency objective, in milliseconds"),
+  z.int().describe("remaining time to the deadline, in milliseconds"),
+  z.boolean().describe("whether it may be served after its objective"),
+  z.int().min(0).describe(
+    "connections to backend servers that broke while running it before",
+  ),
   z.string().describe("method"),
-  z.string().describe("target"),
-  z.array(z.string()).describe("names and values of headers in turn"),
+  z.string().describe("target: path and query"),
+  z.array(z.string()).describe("headers, as alternating names and values"),
   z.boolean().describe("whether it has a body"),
 ]);
 
-/** How busy a backend server is, as its daemon tells with each outcome. */
+/** The load of a backend server, which its daemon sends with each outcome. */
 export const LoadHead = z.tuple([
   z.number().describe("wait, in milliseconds"),
-  z.number().describe("work offered for each slot"),
-  z.number().describe("usual time of a request of the route, in milliseconds"),
-  z.number().describe("share of recent requests that failed"),
+  z.number().describe("offered work per slot"),
+  z.number().describe("typical service time of the route, in milliseconds"),
+  z.number().describe("ratio of recent requests that failed"),
 ]);
 
 /** The head of an outcome. */
@@ -82,25 +83,27 @@
   z.enum(["answer", "not_run", "unknown"]),
   z.string().describe("reason, empty for an answer"),
   z.number().describe("wait, in milliseconds"),
-  z.boolean().describe("whether it arrived, or whether an answer is framed"),
+  z.boolean().describe(
+    "whether the request arrived; for an answer, whether it is framed",
+  ),
   z.int().describe("status, 0 without an answer"),
   z.record(z.string(), z.union([z.string(), z.array(z.string())])),
   LoadHead,
 ]);
 
-/** How busy a backend server is. */
+/** The load of a backend server. */
 export interface LoadReport {
-  /** Until a request that arrives now would start, in milliseconds. */
+  /** How long a request that arrives now would wait before it starts, in milliseconds. */
   readonly waitMs: number;
-  /** Work offered for each slot, as a mean of the last second; 1 keeps all busy. */
+  /** Offered work per slot, averaged over the last second; 1 keeps all slots busy. */
   readonly utilization: number;
-  /** Usual time of a request of the route in question, in milliseconds; 0 before the first. */
+  /** Typical service time of the route in question, in milliseconds; 0 before its first request. */
   readonly serviceMs: number;
-  /** Share of recent requests that failed. */
+  /** Ratio of recent requests that failed. */
   readonly failureShare: number;
 }
 
-/** Writes a frame. */
+/** Encodes a frame. */
 export function encodeFrame(frame: {
   kind: number;
   id: number;
@@ -109,43 +112,43 @@
 }): Buffer {
   const head = frame.head === undefined ? "" : JSON.stringify(frame.head);
   const headBytes = Buffer.byteLength(head);
-  const body = frame.body ?? NOTHING;
+  const body = frame.body ?? EMPTY_BODY;
   const length = PREFIX_BYTES + headBytes + body.length;
   const bytes = Buffer.allocUnsafe(LENGTH_BYTES + length);
-  let at = bytes.writeUInt32LE(length, 0);
-  at = bytes.writeUInt8(frame.kind, at);
-  at = bytes.writeUInt32LE(frame.id, at);
-  at = bytes.writeUInt32LE(headBytes, at);
-  at += bytes.write(head, at);
-  body.copy(bytes, at);
+  let offset = bytes.writeUInt32LE(length, 0);
+  offset = bytes.writeUInt8(frame.kind, offset);
+  offset = bytes.writeUInt32LE(frame.id, offset);
+  offset = bytes.writeUInt32LE(headBytes, offset);
+  offset += bytes.write(head, offset);
+  body.copy(bytes, offset);
   return bytes;
 }
 
-/** Puts frames together from what a connection brings. */
+/** Reassembles frames from the bytes received on a connection. */
 export class FrameReader {
   private chunks: Buffer[] = [];
-  private size = 0;
-  /** How many bytes the next frame takes, as far as that is known. */
-  private needed = LENGTH_BYTES;
+  private bufferedBytes = 0;
+  /** Bytes needed before the next frame, or its length field, can be decoded. */
+  private neededBytes = LENGTH_BYTES;
 
   private constructor() {}
 
-  /** Creates a reader of a new connection. */
+  /** Creates a reader for a new connection. */
   static create(): FrameReader {
     return new FrameReader();
   }
 
   /**
-   * Takes bytes; returns the frames that they complete.
+   * Appends received bytes; returns the frames that they complete.
    *
-   * @throws BamboolinkError if the bytes are no frames; nothing more can be read then.
+   * @throws BamboolinkError if the bytes are not valid frames; the reader cannot be used afterwards.
    */
   push(bytes: Buffer): Frame[] {
     this.chunks.push(bytes);
-    this.size += bytes.length;
+    this.bufferedBytes += bytes.length;
     const frames: Frame[] = [];
-    while (this.size >= this.needed) {
-      const frame = this.takeOne();
+    while (this.bufferedBytes >= this.neededBytes) {
+      const frame = this.decodeNext();
       if (frame !== undefined) {
         frames.push(frame);
       }
@@ -153,78 +156,94 @@
     return frames;
   }
 
-  /** Takes the next frame, or learns how long it is. */
-  private takeOne(): Frame | undefined {
+  /** Removes and decodes the next frame; if it is incomplete, sets `neededBytes` to its size and returns undefined. */
+  private decodeNext(): Frame | undefined {
     const bytes = this.chunks.length === 1
       ? this.chunks[0]!
       : Buffer.concat(this.chunks);
     this.chunks = [bytes];
     const length = bytes.readUInt32LE(0);
-    if (length < PREFIX_BYTES || length > MAXIMUM_FRAME_BYTES) {
+    if (length < PREFIX_BYTES || length > MAX_FRAME_BYTES) {
       throw malformed(`a frame of ${length} bytes`);
     }
-    const end = LENGTH_BYTES + length;
-    if (bytes.length < end) {
-      this.needed = end;
+    const frameEnd = LENGTH_BYTES + length;
+    if (bytes.length < frameEnd) {
+      this.neededBytes = frameEnd;
       return undefined;
     }
-    this.chunks = [bytes.subarray(end)];
-    this.size -= end;
-    this.needed = LENGTH_BYTES;
-    return decodeFrame(bytes.subarray(LENGTH_BYTES, end));
+    this.chunks = [bytes.subarray(frameEnd)];
+    this.bufferedBytes -= frameEnd;
+    this.neededBytes = LENGTH_BYTES;
+    return decodeFrame(bytes.subarray(LENGTH_BYTES, frameEnd));
   }
 }
 
 function decodeFrame(bytes: Buffer): Frame {
   const headBytes = bytes.readUInt32LE(5);
-  const bodyAt = PREFIX_BYTES + headBytes;
-  if (bodyAt > bytes.length) {
+  const bodyOffset = PREFIX_BYTES + headBytes;
+  if (bodyOffset > bytes.length) {
     throw malformed("a head longer than its frame");
   }
-  const text = bytes.toString("utf8", PREFIX_BYTES, bodyAt);
+  const text = bytes.toString("utf8", PREFIX_BYTES, bodyOffset);
   try {
     return {
       kind: bytes.readUInt8(0),
       id: bytes.readUInt32LE(1),
       head: text === "" ? undefined : JSON.parse(text),
-      body: bytes.subarray(bodyAt),
+      body: bytes.subarray(bodyOffset),
     };
   } catch (cause) {
-    throw malformed("a head that is no JSON", cause);
+    throw malformed("a head that is not valid JSON", cause);
   }
 }
 
-/** Makes the frame that carries a request to another daemon. */
-export function encodeRequest(id: number, work: Work, nowMs: number): Buffer {
+/**
+ * Encodes the frame that forwards a request to another daemon.
+ *
+ * @param nowMs the present time on the clock of the request's deadline.
+ */
+export function encodeRequest(
+  id: number,
+  request: Work,
+  nowMs: number,
+): Buffer {
   const head: z.infer<typeof RequestHead> = [
-    work.id,
-    work.service,
-    work.route,
-    work.rank,
-    work.isIdempotent,
-    work.key ?? null,
-    work.callerService,
-    Math.round(work.objectiveAtMs - nowMs),
-    Math.round(work.deadlineAtMs - nowMs),
-    work.mayEndLate,
-    work.lostRuns,
-    work.method,
-    work.target,
-    work.headers,
-    work.body !== undefined,
+    request.id,
+    request.service,
+    request.route,
+    request.rank,
+    request.isIdempotent,
+    request.key ?? null,
+    request.callerService,
+    Math.round(request.objectiveAtMs - nowMs),
+    Math.round(request.deadlineAtMs - nowMs),
+    request.mayEndLate,
+    request.lostRuns,
+    request.method,
+    request.target,
+    request.headers,
+    request.body !== undefined,
   ];
-  return encodeFrame({ kind: FRAME_KINDS.request, id, head, body: work.body });
+  return encodeFrame({
+    kind: FRAME_KINDS.request,
+    id,
+    head,
+    body: request.body,
+  });
 }
 
 /**
- * Reads a forwarded request.
+ * Decodes a forwarded request.
  *
- * The greeting has told that both daemons mean the same by a head, so the lists are only looked at as
- * far as a truncated one would be noticed: a whole check by the schema costs as much as the rest of the
- * decoding. The tests hold all that is written against the schema.
+ * The handshake has established that both daemons use the same format, so only the number of fields is checked, which
+ * detects a truncated head: full validation by the schema costs as much as the rest of the decoding. The tests validate
+ * every encoded head with the schema.
+ *
+ * @param nowMs when the request was received, on the clock of the resulting deadline.
+ * @throws BamboolinkError if the number of fields is wrong.
  */
 export function decodeRequest(frame: Frame, nowMs: number): Work {
-  const fields = asList<z.infer<typeof RequestHead>>(
+  const fields = asTuple<z.infer<typeof RequestHead>>(
     frame.head,
     RequestHead.def.items.length,
   );
@@ -247,7 +266,7 @@
   };
 }
 
-/** Makes the frame that carries an outcome back. */
+/** Encodes the frame that returns an outcome. */
 export function encodeOutcome(
   id: number,
   outcome: Outcome,
@@ -259,20 +278,20 @@
     Math.round(load.serviceMs),
     Math.round(load.failureShare * 100) / 100,
   ];
-  const head = describeOutcome(outcome, loadHead);
+  const head = toOutcomeHead(outcome, loadHead);
   const body = outcome.kind === "answer" ? outcome.body : undefined;
   return encodeFrame({ kind: FRAME_KINDS.outcome, id, head, body });
 }
 
-function describeOutcome(
+function toOutcomeHead(
   outcome: Outcome,
   load: z.infer<typeof LoadHead>,
 ): z.infer<typeof OutcomeHead> {
   switch (outcome.kind) {
     case "answer": {
       const { status, headers, isFramed } = outcome;
-      const sent = headers as Record<string, string | string[]>;
-      return ["answer", "", 0, isFramed, status, sent, load];
+      const sentHeaders = headers as Record<string, string | string[]>;
+      return ["answer", "", 0, isFramed, status, sentHeaders, load];
     }
     case "not_run": {
       const { reason, waitMs, hasArrived } = outcome;
@@ -283,11 +302,15 @@
   }
 }
 
-/** Reads the outcome of a request at another daemon, and how busy it is there. */
+/**
+ * Decodes the outcome of a request at another daemon, and the load of the backend server there.
+ *
+ * @throws BamboolinkError if the number of fields is wrong.
+ */
 export function decodeOutcome(
   frame: Frame,
 ): { outcome: Outcome; load: LoadReport } {
-  const fields = asList<z.infer<typeof OutcomeHead>>(
+  const fields = asTuple<z.infer<typeof OutcomeHead>>(
     frame.head,
     OutcomeHead.def.items.length,
   );
@@ -300,31 +323,46 @@
   fields: z.infer<typeof OutcomeHead>,
   body: Buffer,
 ): Outcome {
-  const [kind, reason, waitMs, flag, status, headers] = fields;
+  const [kind, reason, waitMs, isFramedOrArrived, status, headers] = fields;
   switch (kind) {
     case "answer": {
-      const answered: ResponseHeaders = headers;
-      return { kind, status, headers: answered, body, isFramed: flag };
+      const responseHeaders: ResponseHeaders = headers;
+      return {
+        kind,
+        status,
+        headers: responseHeaders,
+        body,
+        isFramed: isFramedOrArrived,
+      };
     }
     case "not_run": {
-      const why = reason as RefusalReason;
-      return { kind, reason: why, waitMs, hasArrived: flag };
+      const refusalReason = reason as RefusalReason;
+      return {
+        kind,
+        reason: refusalReason,
+        waitMs,
+        hasArrived: isFramedOrArrived,
+      };
     }
     case "unknown":
       return { kind, reason: reason as UnknownReason };
   }
 }
 
-function asList<T>(head: unknown, length: number): T {
+function asTuple<T>(head: unknown, length: number): T {
   if (!Array.isArray(head) || head.length !== length) {
-    throw malformed("a head with other fields");
+    throw malformed("a head with the wrong number of fields");
   }
   return head as T;
 }
 
-function malformed(what: string, cause?: unknown): BamboolinkError {
-  return BamboolinkError.create("invalid", `a link brought ${what}`, {
-    step: "link.decode",
-    cause,
-  });
+function malformed(description: string, cause?: unknown): BamboolinkError {
+  return BamboolinkError.create(
+    "invalid",
+    `received ${description} on a link`,
+    {
+      step: "link.decode",
+      cause,
+    },
+  );
 }
--- a/packages/router/src/link_server.ts
+++ b/packages/router/src/link_server.ts
@@ -1,5 +1,5 @@
 /**
- * The receiving end of the links from other daemons: runs their requests at the backend server here.
+ * The server side of the links from other daemons: runs their requests at the local backend server.
  *
  * @module
  */
@@ -20,18 +20,18 @@
 import { notRun, type Outcome, type Work } from "./work.ts";
 
 /**
- * A request that is not answered by then is acknowledged, in milliseconds. Many are answered sooner, and
- * the answer says the same without another packet.
+ * Delay after which an unfinished request is acknowledged, in milliseconds. Many requests are answered sooner, and their
+ * outcome serves as the acknowledgement without another packet.
  */
-const ACKNOWLEDGE_AFTER_MS = 60;
+const ACKNOWLEDGE_DELAY_MS = 60;
 
 /**
- * A late answer is expected to wait for so many times what is before it: answers that are in time and come later go
- * first, too. Without it one download in six of a busy host was made and not delivered by its deadline.
+ * Factor on the estimated wait of a late response, because on-time responses that become ready later are also sent before
+ * it. Without it, one download in six on a busy host was produced but not delivered by its deadline.
  */
-const LATE_ALLOWANCE = 2;
+const LATE_WAIT_FACTOR = 2;
 
-/** What the server needs. */
+/** Dependencies of the server. */
 export interface LinkServerContext {
   readonly logger: Logger;
   readonly backend: Pick<LocalBackend, "attempt" | "reportOn">;
@@ -40,28 +40,27 @@
   readonly nowMs: () => number;
 }
 
-/** One request of another daemon. */
-interface Running {
+/** A request of another daemon that is being run. */
+interface RunningRequest {
   readonly work: Work;
   readonly cancellation: Cancellation;
-  readonly arrivedMs: number;
+  readonly arrivedAtMs: number;
   isAcknowledged: boolean;
 }
 
-/** One link. */
 interface Link {
   readonly frames: FrameSocket;
-  readonly running: Map<number, Running>;
+  readonly running: Map<number, RunningRequest>;
   lastReadId: number;
 }
 
-/** Serves links. */
+/** Serves the links from other daemons. */
 export class LinkServer {
-  /** Takes the other daemons' connections. */
+  /** Accepts the connections of the other daemons. */
   readonly server: Server;
   private readonly links = new Set<Link>();
   private isStopping = false;
-  private hasSaidFarewell = false;
+  private hasSentGoAway = false;
 
   private constructor(private readonly context: LinkServerContext) {
     this.server = createServer((socket) => this.accept(socket));
@@ -73,36 +72,37 @@
   }
 
   /**
-   * How many requests are under way, and links with unsent bytes: answers that wait in the process would be lost with
-   * it, and their callers told that their requests may have run.
+   * How many requests are in flight or have a response that waits to be sent, plus the number of links with unsent bytes:
+   * responses that are buffered when the process exits would be lost, and their callers would be told that their requests
+   * may have run.
    */
   get activeCount(): number {
-    const underWay = [...this.links].reduce(
+    const inFlight = [...this.links].reduce(
       (sum, { running, frames }) =>
         sum + running.size + (frames.hasUnsent ? 1 : 0),
       0,
     );
-    return underWay + this.context.responses.waitingCount;
+    return inFlight + this.context.responses.waitingCount;
   }
 
-  /** From now on no request is taken any more. */
+  /** Refuses all further requests. */
   beginStop(): void {
     this.isStopping = true;
   }
 
-  /** Ends all links in good order; resolves when the other daemons have ended them, too. */
+  /** Tells the other daemons which requests were read last, and ends all links; resolves when all are closed. */
   async close(): Promise<void> {
-    this.hasSaidFarewell = true;
+    this.hasSentGoAway = true;
     this.server.close();
     const ended = [...this.links].map(({ frames, lastReadId: id }) => {
-      frames.write(encodeFrame({ kind: FRAME_KINDS.farewell, id }));
+      frames.write(encodeFrame({ kind: FRAME_KINDS.goAway, id }));
       return frames.finish();
     });
     this.links.clear();
     await Promise.all(ended);
   }
 
-  /** Acknowledges what takes long, and gives up what nobody waits for any more. */
+  /** Acknowledges requests that take long, and cancels those past their deadline; must be called periodically. */
   tick(): void {
     const nowMs = this.context.nowMs();
     this.links.forEach((link) =>
@@ -114,17 +114,17 @@
 
   private review(
     link: Link,
-    entry: { running: Running; id: number; nowMs: number },
+    entry: { running: RunningRequest; id: number; nowMs: number },
   ): void {
     const { running, id, nowMs } = entry;
     if (nowMs >= running.work.deadlineAtMs) {
-      // The sender cancels at the deadline; one that is cut off can't, and a slot would stay taken.
+      // The sender cancels at the deadline, but a disconnected sender cannot, and a slot would stay occupied.
       running.cancellation.cancel("deadline");
       return;
     }
     if (
       !running.isAcknowledged &&
-      nowMs - running.arrivedMs >= ACKNOWLEDGE_AFTER_MS
+      nowMs - running.arrivedAtMs >= ACKNOWLEDGE_DELAY_MS
     ) {
       running.isAcknowledged = true;
       link.frames.write(encodeFrame({ kind: FRAME_KINDS.acknowledgement, id }));
@@ -133,9 +133,9 @@
 
   private accept(socket: Socket): void {
     const peer = `${socket.remoteAddress}:${socket.remotePort}`;
-    const running = new Map<number, Running>();
+    const running = new Map<number, RunningRequest>();
     const frames = FrameSocket.create(socket, peer, {
-      onFrame: (frame) => this.take(link, frame),
+      onFrame: (frame) => this.receive(link, frame),
       onEnd: (cause) => {
         this.links.delete(link);
         this.context.responses.drop(frames);
@@ -148,20 +148,20 @@
     this.links.add(link);
   }
 
-  private take(link: Link, frame: Frame): void {
+  private receive(link: Link, frame: Frame): void {
     if (frame.kind === FRAME_KINDS.cancellation) {
       link.running.get(frame.id)?.cancellation.cancel("cancelled");
       this.context.responses.cancel(link.frames, frame.id);
       return;
     }
-    if (frame.kind !== FRAME_KINDS.request || this.hasSaidFarewell) {
+    if (frame.kind !== FRAME_KINDS.request || this.hasSentGoAway) {
       return;
     }
     const { nowMs, lag } = this.context;
-    const arrivedMs = nowMs();
-    const work = decodeRequest(frame, arrivedMs - lag.currentMs);
+    const arrivedAtMs = nowMs();
+    const work = decodeRequest(frame, arrivedAtMs - lag.currentMs);
     const cancellation = Cancellation.create();
-    const running = { work, cancellation, arrivedMs, isAcknowledged: false };
+    const running = { work, cancellation, arrivedAtMs, isAcknowledged: false };
     link.running.set(frame.id, running);
     link.lastReadId = frame.id;
     void this.serve(link, frame.id, running);
@@ -170,17 +170,17 @@
   private async serve(
     link: Link,
     id: number,
-    { work, cancellation }: Running,
+    { work, cancellation }: RunningRequest,
   ): Promise<void> {
     const { backend, responses, lag, logger } = this.context;
     const { route, objectiveAtMs } = work;
     await lag.catchUp({ isFirst: false });
-    const leaving = leaveTime(work, responses.estimateDelay(route), {
+    const adjusted = reserveLinkTime(work, responses.estimateDelay(route), {
       nowMs: this.context.nowMs(),
       serviceMs: backend.reportOn(route).serviceMs,
     });
     responses.adjustRunning(route, 1);
-    const outcome = await this.run(leaving, cancellation)
+    const outcome = await this.run(adjusted, cancellation)
       .catch((cause) => {
         logger.log("unexpected_error", { step: "link_server", cause });
         return { kind: "unknown", reason: "connection_lost" } as const;
@@ -189,7 +189,7 @@
     if (link.running.delete(id) && cancellation.reason !== "cancelled") {
       const { frames } = link;
       const load = backend.reportOn(route);
-      // Whoever chooses among servers chooses among the links to them, too.
+      // A daemon that chooses among backend servers must also take the delay of the links to them into account.
       const serviceMs = load.serviceMs +
         responses.estimateDelay(route).inTimeMs;
       responses.send(
@@ -213,10 +213,10 @@
 }
 
 /**
- * A request whose answer will wait for the link has so much less time to be made. Without this, servers run requests
- * whose answers can't arrive in time, at the cost of those that could.
+ * Brings a request's objective and deadline forward by the time that its response will wait for the link. Otherwise servers
+ * would run requests whose responses cannot arrive in time, at the cost of those that could.
  */
-function leaveTime(
+function reserveLinkTime(
   work: Work,
   { inTimeMs, lateMs }: LinkDelay,
   now: { nowMs: number; serviceMs: number },
@@ -225,8 +225,8 @@
     return work;
   }
   const objectiveAtMs = work.objectiveAtMs - inTimeMs;
-  const isInTime = now.nowMs + now.serviceMs <= objectiveAtMs;
-  const leftMs = isInTime ? inTimeMs : lateMs * LATE_ALLOWANCE;
-  const deadlineAtMs = work.deadlineAtMs - leftMs;
+  const isOnTime = now.nowMs + now.serviceMs <= objectiveAtMs;
+  const reservedMs = isOnTime ? inTimeMs : lateMs * LATE_WAIT_FACTOR;
+  const deadlineAtMs = work.deadlineAtMs - reservedMs;
   return { ...work, objectiveAtMs, deadlineAtMs };
 }
--- a/packages/router/src/link_server_test.ts
+++ b/packages/router/src/link_server_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the receiving end of links when its daemon ends.
+ * Tests of the server side of links when its daemon stops.
  *
  * @module
  */
@@ -20,16 +20,16 @@
 import type { Outcome } from "./work.ts";
 
 const LOAD = { waitMs: 0, utilization: 0, serviceMs: 1, failureShare: 0 };
-/** More than the buffers of both ends of a loopback connection hold, in bytes. */
+/** More than the buffers at both ends of a loopback connection hold, in bytes. */
 const LARGE_BYTES = 32_000_000;
 const TICK_MS = 50;
 
-function createServer(answer: Outcome): LinkServer {
+function createServer(outcome: Outcome): LinkServer {
   const nowMs = () => performance.now();
   return LinkServer.create({
     logger: Logger.createBounded("test", { level: "error" }),
     backend: {
-      attempt: () => Promise.resolve(answer),
+      attempt: () => Promise.resolve(outcome),
       reportOn: () => LOAD,
     },
     responses: ResponseSender.create(Infinity, nowMs),
@@ -38,8 +38,8 @@
   });
 }
 
-/** Opens a link, sends one request on it and reads nothing yet. */
-async function askSlowly(server: LinkServer): Promise<Socket> {
+/** Opens a link and sends one request on it without reading from it. */
+async function sendWithoutReading(server: LinkServer): Promise<Socket> {
   await new Promise<void>((resolve) =>
     server.server.listen(0, "127.0.0.1", resolve)
   );
@@ -48,18 +48,18 @@
   socket.on("error", () => undefined);
   await new Promise<void>((resolve) => socket.once("connect", resolve));
   socket.pause();
-  const { greeting: kind } = FRAME_KINDS;
+  const { handshake: kind } = FRAME_KINDS;
   socket.write(encodeFrame({ kind, id: 0, head: [LINK_FORMAT] }));
   socket.write(encodeRequest(1, WORK, performance.now()));
   return socket;
 }
 
-describe("link server", () => {
-  describe("with an answer that the link has not taken yet", () => {
-    // A caller of another daemon was told that its request may have run, though the answer was there: the daemon beside
-    // the backend server stopped, counted the answer as gone once it was written to the link, and ended while most of its
-    // bytes waited in the process for a slow link.
-    it("has something under way until the other daemon has read it", async () => {
+describe("LinkServer", () => {
+  describe("with a response that is still buffered for the link", () => {
+    // Guards against losing a finished response, so that the caller of another daemon is told that its request may have
+    // run: a stopping daemon counted the response as sent once it was written to the link, and exited while most of its
+    // bytes were still buffered in the process for a slow link.
+    it("counts it as active until the other daemon has read it", async () => {
       const body = Buffer.alloc(LARGE_BYTES);
       const server = createServer({
         kind: "answer",
@@ -68,7 +68,7 @@
         body,
         isFramed: true,
       });
-      const socket = await askSlowly(server);
+      const socket = await sendWithoutReading(server);
       await sleep(500);
       expect(server.activeCount).to.equal(1);
       let bytes = 0;
--- a/packages/router/src/link_test.ts
+++ b/packages/router/src/link_test.ts
@@ -1,6 +1,6 @@
 /**
- * Tests of the links between daemons: what is written is read, whatever the pieces in which it comes, and
- * what may have run is told apart from what surely has not.
+ * Tests of the links between daemons: frames are decoded as they were encoded, in whatever chunks they arrive, and
+ * requests that may have run are distinguished from those that certainly have not.
  *
  * @module
  */
@@ -36,7 +36,7 @@
 };
 const SEED = 20_261_202;
 
-const anyWork: fc.Arbitrary<Work> = fc.record({
+const anyRequest: fc.Arbitrary<Work> = fc.record({
   id: fc.string(),
   service: fc.string(),
   route: fc.string(),
@@ -74,48 +74,48 @@
   fc.constant(unknown("connection_lost")),
 );
 
-/** Cuts bytes into pieces of the given sizes, over and over. */
-function cut(bytes: Buffer, sizes: readonly number[]): Buffer[] {
-  const pieces: Buffer[] = [];
-  let at = 0;
-  for (let turn = 0; at < bytes.length; turn += 1) {
-    const end = at + sizes[turn % sizes.length]!;
-    pieces.push(bytes.subarray(at, end));
-    at = end;
+/** Splits bytes into chunks of the given sizes, used in rotation. */
+function split(bytes: Buffer, sizes: readonly number[]): Buffer[] {
+  const chunks: Buffer[] = [];
+  let offset = 0;
+  for (let index = 0; offset < bytes.length; index += 1) {
+    const end = offset + sizes[index % sizes.length]!;
+    chunks.push(bytes.subarray(offset, end));
+    offset = end;
   }
-  return pieces;
+  return chunks;
 }
 
-function readAll(pieces: readonly Buffer[]): Frame[] {
+function decodeAll(chunks: readonly Buffer[]): Frame[] {
   const reader = FrameReader.create();
-  return pieces.flatMap((piece) => reader.push(piece));
+  return chunks.flatMap((chunk) => reader.push(chunk));
 }
 
-/** A daemon's end of a link whose behaviour the test decides. */
-class PeerStandin {
+/** The server side of a link, with behaviour that the test controls. */
+class FakePeer {
   readonly sockets: Socket[] = [];
   readonly frames: Frame[] = [];
   private readonly server = createServer((socket) => {
     this.sockets.push(socket);
     socket.on("error", () => undefined);
     socket.write(
-      encodeFrame({ kind: FRAME_KINDS.greeting, id: 0, head: [LINK_FORMAT] }),
+      encodeFrame({ kind: FRAME_KINDS.handshake, id: 0, head: [LINK_FORMAT] }),
     );
     const reader = FrameReader.create();
     socket.on("data", (bytes: Buffer) =>
       this.frames.push(
         ...reader.push(bytes).filter(({ kind }) =>
-          kind !== FRAME_KINDS.greeting
+          kind !== FRAME_KINDS.handshake
         ),
       ));
   });
 
-  static async create(): Promise<PeerStandin> {
-    const standin = new PeerStandin();
+  static async create(): Promise<FakePeer> {
+    const peer = new FakePeer();
     await new Promise<void>((resolve) =>
-      standin.server.listen(0, "127.0.0.1", resolve)
+      peer.server.listen(0, "127.0.0.1", resolve)
     );
-    return standin;
+    return peer;
   }
 
   get address(): string {
@@ -134,7 +134,7 @@
   }
 }
 
-/** Sends one request; resolves with what its listener hears first. */
+/** Sends one request; resolves with its outcome, or with whether it may have been sent if it is lost. */
 function sendOne(link: LinkClient): Promise<"sent" | "unsent" | Outcome> {
   return new Promise((resolve) => {
     link.send(WORK, {
@@ -148,18 +148,20 @@
 
 describe("link", () => {
   describe("frames", () => {
-    it("bring every request as it was, in whatever pieces", () => {
+    it("preserve every request, in whatever chunks they arrive", () => {
       fc.assert(
         fc.property(
-          fc.array(anyWork, { minLength: 1, maxLength: 4 }),
+          fc.array(anyRequest, { minLength: 1, maxLength: 4 }),
           fc.array(fc.integer({ min: 1, max: 40 }), { minLength: 1 }),
-          (works, sizes) => {
+          (requests, sizes) => {
             const bytes = Buffer.concat(
-              works.map((each, index) => encodeRequest(index, each, 0)),
+              requests.map((request, index) =>
+                encodeRequest(index, request, 0)
+              ),
             );
-            const frames = readAll(cut(bytes, sizes));
+            const frames = decodeAll(split(bytes, sizes));
             expect(frames.map((frame) => decodeRequest(frame, 0)))
-              .to.deep.equal(works);
+              .to.deep.equal(requests);
             frames.forEach(({ head }) => RequestHead.parse(head));
           },
         ),
@@ -167,10 +169,10 @@
       );
     });
 
-    it("bring every outcome as it was", () => {
+    it("preserve every outcome", () => {
       fc.assert(
         fc.property(anyOutcome, (outcome) => {
-          const [frame] = readAll([encodeOutcome(1, outcome, LOAD)]);
+          const [frame] = decodeAll([encodeOutcome(1, outcome, LOAD)]);
           expect(decodeOutcome(frame!)).to.deep.equal({ outcome, load: LOAD });
           OutcomeHead.parse(frame!.head);
         }),
@@ -178,17 +180,17 @@
       );
     });
 
-    it("that are none end the reading with an error", () => {
+    it("that are malformed raise an error", () => {
       const bytes = Buffer.from("GET / HTTP/1.1\r\nhost: x\r\n\r\n");
-      expect(() => readAll([bytes])).to.throw("a link brought a frame of");
+      expect(() => decodeAll([bytes])).to.throw("received a frame of");
     });
   });
 
-  describe("a peer that ends its link", () => {
-    let peer: PeerStandin;
+  describe("a peer that closes its link", () => {
+    let peer: FakePeer;
     let link: LinkClient;
     beforeEach(async () => {
-      peer = await PeerStandin.create();
+      peer = await FakePeer.create();
       link = LinkClient.create(peer.address, () => performance.now());
     });
     afterEach(() => {
@@ -196,32 +198,32 @@
       peer.close();
     });
 
-    it("without a word may have run what was sent", async () => {
-      const ended = sendOne(link);
+    it("without a goAway frame may have run what was sent", async () => {
+      const lost = sendOne(link);
       await peer.awaitFrames(1);
       peer.sockets[0]!.destroy();
-      expect(await ended).to.equal("sent");
+      expect(await lost).to.equal("sent");
     });
 
-    // Symptom: an order fails as "may have run" while a daemon restarts, though nobody has read it.
-    // Sequence: the daemon reads its last request and closes; another order is on its way to it.
-    // Cause: an ended connection doesn't tell which requests were read before it ended.
-    it("with a farewell has surely not run what it has not read", async () => {
+    // Guards against an order that fails as "may have run" during a restart although no daemon has read it: the daemon
+    // reads its last request and closes the link while another order is being sent to it, and a closed connection does not
+    // show which requests were read before.
+    it("with a goAway frame has certainly not run what it has not read", async () => {
       const read = sendOne(link);
       await peer.awaitFrames(1);
       const { id } = peer.frames[0]!;
-      const crossing = sendOne(link);
-      const kind = FRAME_KINDS.farewell;
+      const unread = sendOne(link);
+      const kind = FRAME_KINDS.goAway;
       peer.sockets[0]!.end(encodeFrame({ kind, id }));
-      expect(await crossing).to.equal("unsent");
+      expect(await unread).to.equal("unsent");
       expect(await read).to.equal("sent");
       expect(link.isUsable).to.equal(false);
     });
   });
 
-  describe("a peer that can't be reached", () => {
-    it("has surely not run anything", async () => {
-      const peer = await PeerStandin.create();
+  describe("an unreachable peer", () => {
+    it("has certainly not run anything", async () => {
+      const peer = await FakePeer.create();
       const { address } = peer;
       peer.close();
       const link = LinkClient.create(address, () => performance.now());
@@ -229,12 +231,12 @@
     });
   });
 
-  describe("a link that has gone silent", () => {
-    // Symptom: all requests to one daemon wait for their deadlines, while it answers others.
-    // Sequence: the connection goes dead without a reset; later requests are sent on it, too.
-    // Cause: many requests share a connection, so its silence must not be waited out by each of them.
-    it("is left: what may be repeated goes elsewhere, the rest by a new link", async () => {
-      const peer = await PeerStandin.create();
+  describe("a link that has become unresponsive", () => {
+    // Guards against all requests to one daemon waiting for their deadlines while it answers other daemons: a connection
+    // broke without a reset, and later requests were sent on it as well. Many requests share a connection, so they must not
+    // each wait for it to time out.
+    it("is replaced: retryable requests are given up, the others still get their outcomes, and later ones use a new link", async () => {
+      const peer = await FakePeer.create();
       const unreachable: string[] = [];
       const forwarder = Forwarder.create({
         logger: Logger.createBounded("test", { level: "error" }),
@@ -247,20 +249,20 @@
           cancellation: Cancellation.create(),
           mayGiveUp: () => mayGiveUp,
         });
-      const repeatable = forward(true);
-      const once = forward(false);
+      const retryable = forward(true);
+      const nonRetryable = forward(false);
       await peer.awaitFrames(2);
       while (unreachable.length === 0) {
         await sleep(20);
         forwarder.tick();
       }
-      expect(await repeatable).to.deep.equal(unknown("connection_lost"));
+      expect(await retryable).to.deep.equal(unknown("connection_lost"));
       void forward(true);
       await peer.awaitFrames(4);
       expect(peer.sockets.length).to.equal(2);
-      const late = encodeOutcome(2, notRun("overloaded"), LOAD);
-      peer.sockets[0]!.write(late);
-      expect(await once).to.deep.equal(notRun("overloaded"));
+      const lateOutcome = encodeOutcome(2, notRun("overloaded"), LOAD);
+      peer.sockets[0]!.write(lateOutcome);
+      expect(await nonRetryable).to.deep.equal(notRun("overloaded"));
       forwarder.close();
       peer.close();
     });
--- a/packages/router/src/response_sender.ts
+++ b/packages/router/src/response_sender.ts
@@ -1,5 +1,5 @@
 /**
- * Sends outcomes back over links: small ones at once, large answers in pieces at the pace of the host's network link.
+ * Returns outcomes over links: small ones at once, large responses in chunks at the rate of the host's network link.
  *
  * @module
  */
@@ -17,36 +17,36 @@
 } from "./link_codec.ts";
 import type { Outcome } from "./work.ts";
 
-/** Answers up to this size leave at once, in bytes: about 12 ms of a link of 10 Mbit/s. */
-const SMALL_BYTES = 16_384;
-/** How much of a large answer is written at a time, in bytes: small messages wait for one piece at most. */
-const PIECE_BYTES = 32_768;
-/** Weight of the latest answer in the average size of a route's answers. */
-const SIZE_RATE = 0.1;
-/** Share of the link for large answers; the rest is for small ones, requests and gossip. */
-const LINK_SHARE = 0.9;
+/** Responses up to this size are sent at once, in bytes: about 12 ms of a link of 10 Mbit/s. */
+const MAX_SMALL_BYTES = 16_384;
+/** How much of a large response is written at a time, in bytes: small messages wait for at most one chunk. */
+const CHUNK_BYTES = 32_768;
+/** Weight of the latest response in the moving average (EWMA) of a route's response size. */
+const SIZE_WEIGHT = 0.1;
+/** Share of the link's bandwidth for large responses; the rest is for small ones, requests and gossip. */
+const LARGE_RESPONSE_SHARE = 0.9;
 
 const NO_DELAY: LinkDelay = { inTimeMs: 0, lateMs: 0 };
 
-/** Where an outcome goes, and until when it is wanted. */
+/** Where an outcome is sent, and its latency objective. */
 export interface ResponseTarget {
   readonly frames: FrameSocket;
-  /** The number of the request on its link. */
+  /** Id of the request on its link. */
   readonly id: number;
   readonly route: string;
   readonly objectiveAtMs: number;
 }
 
-interface LargeAnswer extends WaitingAnswer, ResponseTarget {
-  readonly answer: Extract<Outcome, { kind: "answer" }>;
+interface LargeResponse extends WaitingAnswer, ResponseTarget {
+  readonly response: Extract<Outcome, { kind: "answer" }>;
   readonly load: LoadReport;
 }
 
-/** Sends the outcomes of one daemon. */
+/** Sends the outcomes of requests that one daemon runs for others. */
 export class ResponseSender {
-  private readonly pacer: LinkPacer<LargeAnswer>;
-  private readonly sizes = new Map<string, number>();
-  /** Requests of each route that are being run for other daemons. */
+  private readonly pacer: LinkPacer<LargeResponse>;
+  private readonly averageSizes = new Map<string, number>();
+  /** Number of requests that are being run for other daemons, by route. */
   private readonly running = new Map<string, number>();
   private timer: NodeJS.Timeout | undefined;
 
@@ -54,13 +54,13 @@
     linkBytesPerSecond: number,
     private readonly nowMs: () => number,
   ) {
-    this.pacer = LinkPacer.create(linkBytesPerSecond * LINK_SHARE);
+    this.pacer = LinkPacer.create(linkBytesPerSecond * LARGE_RESPONSE_SHARE);
   }
 
   /**
    * Creates a sender.
    *
-   * @param linkBytesPerSecond speed of the host's network link; infinite if not known.
+   * @param linkBytesPerSecond bandwidth of the host's network link; `Infinity` if unknown.
    */
   static create(
     linkBytesPerSecond: number,
@@ -69,80 +69,82 @@
     return new ResponseSender(linkBytesPerSecond, nowMs);
   }
 
-  /** How many answers have not left yet. */
+  /** How many large responses have not been sent completely. */
   get waitingCount(): number {
     return this.pacer.waitingCount;
   }
 
-  /** A request of a route is run for another daemon from now on, or not any more. */
+  /** Adds one to, or subtracts one from, the number of requests of a route that are being run for other daemons. */
   adjustRunning(route: string, change: 1 | -1): void {
     this.running.set(route, (this.running.get(route) ?? 0) + change);
   }
 
-  /** Until the answer to a request of a route would have left, beside the time to make it. */
+  /** Estimates how long a response of a route would take to be sent, in addition to the service time. */
   estimateDelay(route: string): LinkDelay {
-    const size = this.sizes.get(route) ?? 0;
-    if (size <= SMALL_BYTES) {
+    const size = this.averageSizes.get(route) ?? 0;
+    if (size <= MAX_SMALL_BYTES) {
       return NO_DELAY;
     }
-    const made = [...this.running].reduce((sum, [other, count]) => {
-      const each = this.sizes.get(other) ?? 0;
-      return each <= SMALL_BYTES ? sum : sum + each * count;
+    const pendingBytes = [...this.running].reduce((sum, [other, count]) => {
+      const averageSize = this.averageSizes.get(other) ?? 0;
+      return averageSize <= MAX_SMALL_BYTES ? sum : sum + averageSize * count;
     }, 0);
-    return this.pacer.expect(size + made, this.nowMs());
+    return this.pacer.expect(size + pendingBytes, this.nowMs());
   }
 
-  /** Sends an outcome, now or when its turn comes. */
+  /** Sends an outcome, at once or when it is its turn. */
   send(target: ResponseTarget, outcome: Outcome, load: LoadReport): void {
     const { frames, id, route } = target;
     const size = outcome.kind === "answer" ? outcome.body.length : 0;
     if (outcome.kind === "answer") {
-      const known = this.sizes.get(route) ?? size;
-      this.sizes.set(route, known + SIZE_RATE * (size - known));
+      const average = this.averageSizes.get(route) ?? size;
+      this.averageSizes.set(route, average + SIZE_WEIGHT * (size - average));
     }
-    if (outcome.kind !== "answer" || size <= SMALL_BYTES) {
+    if (outcome.kind !== "answer" || size <= MAX_SMALL_BYTES) {
       this.write(frames, encodeOutcome(id, outcome, load));
       return;
     }
-    this.pacer.add({ ...target, answer: outcome, load, bytesLeft: size });
-    this.pump();
+    this.pacer.add({ ...target, response: outcome, load, bytesLeft: size });
+    this.sendDue();
   }
 
-  /** Nobody waits for an answer any more. */
+  /** Drops a response that is no longer needed. */
   cancel(frames: FrameSocket, id: number): void {
-    this.pacer.remove((answer) => answer.frames === frames && answer.id === id);
+    this.pacer.remove((response) =>
+      response.frames === frames && response.id === id
+    );
   }
 
-  /** A link has ended, and all answers on it. */
+  /** Drops all responses of a link that has ended. */
   drop(frames: FrameSocket): void {
-    this.pacer.remove((answer) => answer.frames === frames);
+    this.pacer.remove((response) => response.frames === frames);
   }
 
-  private pump(): void {
+  private sendDue(): void {
     clearTimeout(this.timer);
     let next = this.pacer.next(this.nowMs());
     while (next !== undefined) {
-      this.sendPiece(next);
+      this.sendChunk(next);
       next = this.pacer.next(this.nowMs());
     }
     if (this.pacer.waitingCount > 0) {
       const delayMs = Math.ceil(this.pacer.delayMs(this.nowMs()));
-      this.timer = setTimeout(() => this.pump(), Math.max(1, delayMs));
+      this.timer = setTimeout(() => this.sendDue(), Math.max(1, delayMs));
     }
   }
 
-  private sendPiece(waiting: LargeAnswer): void {
-    const { frames, id, answer, load } = waiting;
-    const from = answer.body.length - waiting.bytesLeft;
-    const body = answer.body.subarray(from, from + PIECE_BYTES);
+  private sendChunk(waiting: LargeResponse): void {
+    const { frames, id, response, load } = waiting;
+    const offset = response.body.length - waiting.bytesLeft;
+    const body = response.body.subarray(offset, offset + CHUNK_BYTES);
     waiting.bytesLeft -= body.length;
     if (waiting.bytesLeft > 0) {
-      const { piece: kind } = FRAME_KINDS;
+      const { chunk: kind } = FRAME_KINDS;
       this.write(frames, encodeFrame({ kind, id, body }));
       return;
     }
     this.cancel(frames, id);
-    this.write(frames, encodeOutcome(id, { ...answer, body }, load));
+    this.write(frames, encodeOutcome(id, { ...response, body }, load));
   }
 
   private write(frames: FrameSocket, bytes: Buffer): void {
--- a/packages/router/src/response_sender_test.ts
+++ b/packages/router/src/response_sender_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of large answers over a link: they come whole, and don't hold up small ones.
+ * Tests of large responses over a link: they arrive complete, and do not delay small ones.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 import { notRun, type Outcome } from "./work.ts";
 
 const LOAD = { waitMs: 0, utilization: 0, serviceMs: 1, failureShare: 0 };
-/** Slow enough that a large answer takes several turns. */
+/** Slow enough that a large response takes several turns of the event loop. */
 const LINK_BYTES_PER_SECOND = 4_000_000;
 
 function createLarge(size: number): Extract<Outcome, { kind: "answer" }> {
@@ -23,7 +23,7 @@
   return { kind: "answer", status: 200, headers: {}, body, isFramed: true };
 }
 
-/** Sends outcomes back to the requests of one link, in the order of the requests; returns them as they come. */
+/** Sends one outcome per request of one link, in the order of the requests; returns them in order of arrival. */
 async function exchange(outcomes: readonly Outcome[]): Promise<Outcome[]> {
   const nowMs = () => performance.now();
   const sender = ResponseSender.create(LINK_BYTES_PER_SECOND, nowMs);
@@ -41,14 +41,14 @@
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as AddressInfo;
   const link = LinkClient.create(`127.0.0.1:${port}`, nowMs);
-  const come: Outcome[] = [];
+  const received: Outcome[] = [];
   await Promise.all(
     outcomes.map(() =>
       new Promise<void>((resolve, reject) =>
         link.send(WORK, {
           onAcknowledged: () => undefined,
           onOutcome: (outcome) => {
-            come.push(outcome);
+            received.push(outcome);
             resolve();
           },
           onUnresponsive: () => undefined,
@@ -59,28 +59,30 @@
   );
   link.close();
   server.close();
-  return come;
+  return received;
 }
 
-describe("answer sender", () => {
-  describe("with a large answer", () => {
-    it("brings it whole, in pieces", async () => {
+describe("ResponseSender", () => {
+  describe("with a large response", () => {
+    it("delivers it complete, in chunks", async () => {
       const large = createLarge(300_000);
-      const [come] = await exchange([large]);
-      expect(come).to.deep.equal(large);
+      const [received] = await exchange([large]);
+      expect(received).to.deep.equal(large);
     });
 
-    // Symptom: calls to a server of large answers take as long as these.
-    // Sequence: a large answer is written to a slow link, and a refusal right behind it.
-    // Cause: all that is written to a link leaves in its order.
-    it("lets what is small overtake it", async () => {
+    // Guards against small responses that take as long as large ones of the same server: a large response was written to a
+    // slow link and a refusal right after it, and a link sends everything in the order in which it was written.
+    it("sends small outcomes before the rest of it", async () => {
       const large = createLarge(300_000);
-      const come = await exchange([large, notRun("overloaded")]);
-      expect(come.map(({ kind }) => kind)).to.deep.equal(["not_run", "answer"]);
+      const received = await exchange([large, notRun("overloaded")]);
+      expect(received.map(({ kind }) => kind)).to.deep.equal([
+        "not_run",
+        "answer",
+      ]);
     });
   });
 
-  describe("when nobody waits for a large answer any more", () => {
+  describe("when a large response is cancelled", () => {
     it("sends no more of it", async () => {
       const sender = ResponseSender.create(1_000, () => 0);
       const server = createServer();
@@ -97,7 +99,7 @@
       expect(sender.waitingCount).to.equal(1);
       sender.cancel(frames, 1);
       expect(sender.waitingCount).to.equal(0);
-      frames.write(encodeFrame({ kind: FRAME_KINDS.farewell, id: 0 }));
+      frames.write(encodeFrame({ kind: FRAME_KINDS.goAway, id: 0 }));
       frames.destroy();
       server.close();
     });
