--- a/packages/router/src/link_client.ts
+++ b/packages/router/src/link_client.ts
@@ -14,7 +14,7 @@
   FRAME_KINDS,
   type LoadReport,
 } from "./link_codec.ts";
-import type { Outcome, Work } from "./work.ts";
+import type { Outcome, RoutedRequest } from "./routed_request.ts";
 
 /** How long connecting may take, in milliseconds. All peers are a few milliseconds away. */
 const CONNECT_TIMEOUT_MS = 400;
@@ -109,7 +109,7 @@
   }
 
   /** Sends a request; returns its id on this link. */
-  send(request: Work, listener: LinkListener): number {
+  send(request: RoutedRequest, listener: LinkListener): number {
     this.lastId += 1;
     const id = this.lastId;
     const sentAtMs = this.nowMs();
--- a/packages/router/src/link_codec.ts
+++ b/packages/router/src/link_codec.ts
@@ -10,7 +10,12 @@
 import { BamboolinkError } from "@bamboolink/errors";
 import { z } from "zod";
 import type { ResponseHeaders } from "./exchange.ts";
-import type { Outcome, RefusalReason, UnknownReason, Work } from "./work.ts";
+import type {
+  Outcome,
+  RefusalReason,
+  RoutedRequest,
+  UnknownReason,
+} from "./routed_request.ts";
 
 /** Kinds of frames. */
 export const FRAME_KINDS = {
@@ -204,7 +209,7 @@
  */
 export function encodeRequest(
   id: number,
-  request: Work,
+  request: RoutedRequest,
   nowMs: number,
 ): Buffer {
   const head: z.infer<typeof RequestHead> = [
@@ -218,7 +223,7 @@
     Math.round(request.objectiveAtMs - nowMs),
     Math.round(request.deadlineAtMs - nowMs),
     request.mayEndLate,
-    request.lostRuns,
+    request.brokenConnections,
     request.method,
     request.target,
     request.headers,
@@ -242,7 +247,7 @@
  * @param nowMs when the request was received, on the clock of the resulting deadline.
  * @throws BamboolinkError if the number of fields is wrong.
  */
-export function decodeRequest(frame: Frame, nowMs: number): Work {
+export function decodeRequest(frame: Frame, nowMs: number): RoutedRequest {
   const fields = asTuple<z.infer<typeof RequestHead>>(
     frame.head,
     RequestHead.def.items.length,
@@ -258,7 +263,7 @@
     objectiveAtMs: nowMs + fields[7],
     deadlineAtMs: nowMs + fields[8],
     mayEndLate: fields[9],
-    lostRuns: fields[10],
+    brokenConnections: fields[10],
     method: fields[11],
     target: fields[12],
     headers: fields[13],
--- a/packages/router/src/link_server.ts
+++ b/packages/router/src/link_server.ts
@@ -17,7 +17,7 @@
 } from "./link_codec.ts";
 import type { LocalBackend } from "./local_backend.ts";
 import type { LoopLag } from "./loop_lag.ts";
-import { notRun, type Outcome, type Work } from "./work.ts";
+import { notRun, type Outcome, type RoutedRequest } from "./routed_request.ts";
 
 /**
  * Delay after which an unfinished request is acknowledged, in milliseconds. Many requests are answered sooner, and their
@@ -34,7 +34,7 @@
 /** Dependencies of the server. */
 export interface LinkServerContext {
   readonly logger: Logger;
-  readonly backend: Pick<LocalBackend, "attempt" | "reportOn">;
+  readonly backend: Pick<LocalBackend, "attempt" | "loadReportFor">;
   readonly responses: ResponseSender;
   readonly lag: LoopLag;
   readonly nowMs: () => number;
@@ -42,7 +42,7 @@
 
 /** A request of another daemon that is being run. */
 interface RunningRequest {
-  readonly work: Work;
+  readonly work: RoutedRequest;
   readonly cancellation: Cancellation;
   readonly arrivedAtMs: number;
   isAcknowledged: boolean;
@@ -174,10 +174,10 @@
   ): Promise<void> {
     const { backend, responses, lag, logger } = this.context;
     const { route, objectiveAtMs } = work;
-    await lag.catchUp({ isFirst: false });
+    await lag.awaitPendingReads({ isFirst: false });
     const adjusted = reserveLinkTime(work, responses.estimateDelay(route), {
       nowMs: this.context.nowMs(),
-      serviceMs: backend.reportOn(route).serviceMs,
+      serviceMs: backend.loadReportFor(route).serviceMs,
     });
     responses.adjustRunning(route, 1);
     const outcome = await this.run(adjusted, cancellation)
@@ -188,10 +188,10 @@
     responses.adjustRunning(route, -1);
     if (link.running.delete(id) && cancellation.reason !== "cancelled") {
       const { frames } = link;
-      const load = backend.reportOn(route);
+      const load = backend.loadReportFor(route);
       // A daemon that chooses among backend servers must also take the delay of the links to them into account.
       const serviceMs = load.serviceMs +
-        responses.estimateDelay(route).inTimeMs;
+        responses.estimateDelay(route).onTimeMs;
       responses.send(
         { frames, id, route, objectiveAtMs },
         outcome,
@@ -200,7 +200,10 @@
     }
   }
 
-  private run(work: Work, cancellation: Cancellation): Promise<Outcome> {
+  private run(
+    work: RoutedRequest,
+    cancellation: Cancellation,
+  ): Promise<Outcome> {
     const { backend, lag } = this.context;
     if (this.isStopping) {
       return Promise.resolve(notRun("stopping"));
@@ -217,16 +220,16 @@
  * would run requests whose responses cannot arrive in time, at the cost of those that could.
  */
 function reserveLinkTime(
-  work: Work,
-  { inTimeMs, lateMs }: LinkDelay,
+  work: RoutedRequest,
+  { onTimeMs, lateMs }: LinkDelay,
   now: { nowMs: number; serviceMs: number },
-): Work {
+): RoutedRequest {
   if (lateMs === 0) {
     return work;
   }
-  const objectiveAtMs = work.objectiveAtMs - inTimeMs;
+  const objectiveAtMs = work.objectiveAtMs - onTimeMs;
   const isOnTime = now.nowMs + now.serviceMs <= objectiveAtMs;
-  const reservedMs = isOnTime ? inTimeMs : lateMs * LATE_WAIT_FACTOR;
+  const reservedMs = isOnTime ? onTimeMs : lateMs * LATE_WAIT_FACTOR;
   const deadlineAtMs = work.deadlineAtMs - reservedMs;
   return { ...work, objectiveAtMs, deadlineAtMs };
 }
--- a/packages/router/src/probe_backend.ts
+++ b/packages/router/src/probe_backend.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { Presence } from "@bamboolink/keyspace";
+import type { ProbeResult } from "@bamboolink/keyspace";
 import { Cancellation } from "./cancellation.ts";
 import { steadyMs } from "./clock.ts";
 import { Connection } from "./exchange.ts";
@@ -21,7 +21,7 @@
 export async function probeBackend(
   address: string,
   options: { protocol: BackendProtocol; healthPath: string },
-): Promise<Presence> {
+): Promise<ProbeResult> {
   const connection = Connection.create(address);
   const result = await connection.exchange({
     method: "GET",
@@ -29,7 +29,7 @@
     headers: ["host", address],
     body: undefined,
   }, {
-    cancellation: Cancellation.createAfter(PROBE_TIMEOUT_MS),
+    cancellation: Cancellation.createWithTimeout(PROBE_TIMEOUT_MS),
     nowMs: steadyMs,
   });
   void connection.destroy();
--- a/packages/router/src/response_sender.ts
+++ b/packages/router/src/response_sender.ts
@@ -6,7 +6,7 @@
 import {
   type LinkDelay,
   LinkPacer,
-  type WaitingAnswer,
+  type WaitingResponse,
 } from "@bamboolink/admission";
 import type { FrameSocket } from "./frame_socket.ts";
 import {
@@ -15,7 +15,7 @@
   FRAME_KINDS,
   type LoadReport,
 } from "./link_codec.ts";
-import type { Outcome } from "./work.ts";
+import type { Outcome } from "./routed_request.ts";
 
 /** Responses up to this size are sent at once, in bytes: about 12 ms of a link of 10 Mbit/s. */
 const MAX_SMALL_BYTES = 16_384;
@@ -26,7 +26,7 @@
 /** Share of the link's bandwidth for large responses; the rest is for small ones, requests and gossip. */
 const LARGE_RESPONSE_SHARE = 0.9;
 
-const NO_DELAY: LinkDelay = { inTimeMs: 0, lateMs: 0 };
+const NO_DELAY: LinkDelay = { onTimeMs: 0, lateMs: 0 };
 
 /** Where an outcome is sent, and its latency objective. */
 export interface ResponseTarget {
@@ -37,7 +37,7 @@
   readonly objectiveAtMs: number;
 }
 
-interface LargeResponse extends WaitingAnswer, ResponseTarget {
+interface LargeResponse extends WaitingResponse, ResponseTarget {
   readonly response: Extract<Outcome, { kind: "answer" }>;
   readonly load: LoadReport;
 }
@@ -89,7 +89,7 @@
       const averageSize = this.averageSizes.get(other) ?? 0;
       return averageSize <= MAX_SMALL_BYTES ? sum : sum + averageSize * count;
     }, 0);
-    return this.pacer.expect(size + pendingBytes, this.nowMs());
+    return this.pacer.estimateDelay(size + pendingBytes, this.nowMs());
   }
 
   /** Sends an outcome, at once or when it is its turn. */
@@ -104,7 +104,12 @@
       this.write(frames, encodeOutcome(id, outcome, load));
       return;
     }
-    this.pacer.add({ ...target, response: outcome, load, bytesLeft: size });
+    this.pacer.add({
+      ...target,
+      response: outcome,
+      load,
+      remainingBytes: size,
+    });
     this.sendDue();
   }
 
@@ -135,10 +140,10 @@
 
   private sendChunk(waiting: LargeResponse): void {
     const { frames, id, response, load } = waiting;
-    const offset = response.body.length - waiting.bytesLeft;
+    const offset = response.body.length - waiting.remainingBytes;
     const body = response.body.subarray(offset, offset + CHUNK_BYTES);
-    waiting.bytesLeft -= body.length;
-    if (waiting.bytesLeft > 0) {
+    waiting.remainingBytes -= body.length;
+    if (waiting.remainingBytes > 0) {
       const { chunk: kind } = FRAME_KINDS;
       this.write(frames, encodeFrame({ kind, id, body }));
       return;
@@ -148,7 +153,7 @@
   }
 
   private write(frames: FrameSocket, bytes: Buffer): void {
-    this.pacer.noteWritten(bytes.length, this.nowMs());
+    this.pacer.recordWritten(bytes.length, this.nowMs());
     frames.write(bytes);
   }
 }
