--- a/packages/connections/src/caller_connection.ts
+++ b/packages/connections/src/caller_connection.ts
@@ -9,7 +9,7 @@
 /**
  * How long a connection is kept open after its last byte was handed to the operating system, in milliseconds, unless the
  * caller closes it first: four times the time that 100 kB take on a link of 10 Mbit/s. Many callers leave closing to the
- * server, and each of them delays the restart of a stopping daemon by this time.
+ * server, so a stopping daemon is unavailable for this much longer.
  */
 const LINGER_TIMEOUT_MS = 300;
 
@@ -70,7 +70,7 @@
       this.handledBytes = this.socket.bytesRead;
     };
     this.openResponses.add(response);
-    // Handling a request may mark its response as the last one; requests behind it could then not be answered.
+    // Handling a request may mark its response as the last one; requests after it could then not be answered.
     this.hasLastResponse = !response.shouldKeepAlive;
     // A body may arrive after the response; counted as a further request, it would keep the connection busy forever.
     incoming.once("close", updateHandledBytes);
--- a/packages/quarantine/src/poison_request_tracker_test.ts
+++ b/packages/quarantine/src/poison_request_tracker_test.ts
@@ -91,7 +91,7 @@
     });
   });
 
-  // Guards against quarantining a popular request that reached a server on probation just after its crash.
+  // Guards against quarantining a popular request whose turn on probation came just after the server had crashed.
   describe("when two suspects are lost one after the other at one crash", () => {
     it("quarantines the first only", () => {
       const tracker = createTracker();
--- a/packages/router/src/link_codec.ts
+++ b/packages/router/src/link_codec.ts
@@ -44,8 +44,11 @@
 
 const EMPTY_BODY = Buffer.alloc(0);
 
+/** A decoded frame. */
 export interface Frame {
+  /** One of `FRAME_KINDS`. */
   readonly kind: number;
+  /** Id of the request on its link; 0 in a handshake. */
   readonly id: number;
   readonly head: unknown;
   readonly body: Buffer;
--- a/packages/router/src/link_server.ts
+++ b/packages/router/src/link_server.ts
@@ -42,7 +42,7 @@
 
 /** A request of another daemon that is being run. */
 interface RunningRequest {
-  readonly work: RoutedRequest;
+  readonly request: RoutedRequest;
   readonly cancellation: Cancellation;
   readonly arrivedAtMs: number;
   isAcknowledged: boolean;
@@ -107,17 +107,17 @@
     const nowMs = this.context.nowMs();
     this.links.forEach((link) =>
       link.running.forEach((running, id) =>
-        this.review(link, { running, id, nowMs })
+        this.checkRequest(link, { running, id, nowMs })
       )
     );
   }
 
-  private review(
+  private checkRequest(
     link: Link,
     entry: { running: RunningRequest; id: number; nowMs: number },
   ): void {
     const { running, id, nowMs } = entry;
-    if (nowMs >= running.work.deadlineAtMs) {
+    if (nowMs >= running.request.deadlineAtMs) {
       // The sender cancels at the deadline, but a disconnected sender cannot, and a slot would stay occupied.
       running.cancellation.cancel("deadline");
       return;
@@ -159,9 +159,14 @@
     }
     const { nowMs, lag } = this.context;
     const arrivedAtMs = nowMs();
-    const work = decodeRequest(frame, arrivedAtMs - lag.currentMs);
+    const request = decodeRequest(frame, arrivedAtMs - lag.currentMs);
     const cancellation = Cancellation.create();
-    const running = { work, cancellation, arrivedAtMs, isAcknowledged: false };
+    const running = {
+      request,
+      cancellation,
+      arrivedAtMs,
+      isAcknowledged: false,
+    };
     link.running.set(frame.id, running);
     link.lastReadId = frame.id;
     void this.serve(link, frame.id, running);
@@ -170,12 +175,12 @@
   private async serve(
     link: Link,
     id: number,
-    { work, cancellation }: RunningRequest,
+    { request, cancellation }: RunningRequest,
   ): Promise<void> {
     const { backend, responses, lag, logger } = this.context;
-    const { route, objectiveAtMs } = work;
+    const { route, objectiveAtMs } = request;
     await lag.awaitPendingReads({ isFirst: false });
-    const adjusted = reserveLinkTime(work, responses.estimateDelay(route), {
+    const adjusted = reserveLinkTime(request, responses.estimateDelay(route), {
       nowMs: this.context.nowMs(),
       serviceMs: backend.loadReportFor(route).serviceMs,
     });
@@ -201,17 +206,17 @@
   }
 
   private run(
-    work: RoutedRequest,
+    request: RoutedRequest,
     cancellation: Cancellation,
   ): Promise<Outcome> {
     const { backend, lag } = this.context;
     if (this.isStopping) {
       return Promise.resolve(notRun("stopping"));
     }
-    if (lag.isOverloaded(work.rank)) {
+    if (lag.isOverloaded(request.rank)) {
       return Promise.resolve(notRun("overloaded", { waitMs: lag.currentMs }));
     }
-    return backend.attempt(work, cancellation);
+    return backend.attempt(request, cancellation);
   }
 }
 
@@ -220,16 +225,16 @@
  * would run requests whose responses cannot arrive in time, at the cost of those that could.
  */
 function reserveLinkTime(
-  work: RoutedRequest,
+  request: RoutedRequest,
   { onTimeMs, lateMs }: LinkDelay,
   now: { nowMs: number; serviceMs: number },
 ): RoutedRequest {
   if (lateMs === 0) {
-    return work;
+    return request;
   }
-  const objectiveAtMs = work.objectiveAtMs - onTimeMs;
+  const objectiveAtMs = request.objectiveAtMs - onTimeMs;
   const isOnTime = now.nowMs + now.serviceMs <= objectiveAtMs;
   const reservedMs = isOnTime ? onTimeMs : lateMs * LATE_WAIT_FACTOR;
-  const deadlineAtMs = work.deadlineAtMs - reservedMs;
-  return { ...work, objectiveAtMs, deadlineAtMs };
+  const deadlineAtMs = request.deadlineAtMs - reservedMs;
+  return { ...request, objectiveAtMs, deadlineAtMs };
 }
