--- a/packages/connections/src/caller_connection.ts
+++ b/packages/connections/src/caller_connection.ts
@@ -7,9 +7,9 @@
 import type { Socket } from "node:net";
 
 /**
- * How long a connection is kept open after its last byte was handed to the operating system, in milliseconds, unless the
- * caller closes it first: four times the time that 100 kB take on a link of 10 Mbit/s. Many callers leave closing to the
- * server, so a stopping daemon is unavailable for this much longer.
+ * How long a connection is kept open after its last byte was handed to the operating system, in milliseconds, unless
+ * the caller closes it first: four times the time that 100 kB take on a link of 10 Mbit/s. Many callers leave closing
+ * to the server, so a stopping daemon is unavailable for this much longer.
  */
 const LINGER_TIMEOUT_MS = 300;
 
@@ -81,8 +81,9 @@
   }
 
   /**
-   * Whether a request, a response or bytes are in flight. A partial or expected request counts, and so does a connection
-   * that the caller has yet to close. Must be called periodically: that is how it detects that no more bytes arrive.
+   * Whether a request, a response or bytes are in flight. A partial or expected request counts, and so does a
+   * connection that the caller has yet to close. Must be called periodically: that is how it detects that no more bytes
+   * arrive.
    */
   isBusy(nowMs: number): boolean {
     return this.openResponses.size > 0 || this.hasLastResponse ||
@@ -105,8 +106,8 @@
   }
 
   /**
-   * Like `end`, but leaves what arrives from now on unread: its caller may then send it elsewhere, even if it must not run
-   * twice.
+   * Like `end`, but leaves what arrives from now on unread: its caller may then send it elsewhere, even if it must not
+   * run twice.
    */
   endUnread(): void {
     this.socket.pause();
@@ -143,7 +144,9 @@
     }
   }
 
-  /** Answers a request whose body is malformed; its handler never gets to the end of the body, so it does not answer. */
+  /**
+   * Answers a request whose body is malformed. Its handler never reaches the end of the body, so it does not answer.
+   */
   private answerRejected(response: ServerResponse, status: string): void {
     this.hasLastResponse = true;
     response.shouldKeepAlive = false;
@@ -170,7 +173,9 @@
     }
   }
 
-  /** Whether more bytes of a request are likely to arrive soon. A new connection is followed immediately by its request. */
+  /**
+   * Whether more bytes of a request are likely to arrive soon. A new connection is followed immediately by a request.
+   */
   private isRequestExpected(nowMs: number): boolean {
     const { bytesRead } = this.socket;
     if (bytesRead !== this.lastCheck.bytes) {
--- a/packages/connections/src/server_connections.ts
+++ b/packages/connections/src/server_connections.ts
@@ -1,10 +1,10 @@
 /**
  * The connections of one HTTP server, and how they are closed.
  *
- * A response is not delivered yet when `response.end` has been called: its bytes may still be buffered in the process, in
- * the operating system or in the network. Node.js treats a connection as idle from that call on, and destroys a connection
- * right after its last byte was handed to the operating system. Both truncate responses that are sent slowly, and callers
- * receive incomplete bodies.
+ * A response is not delivered yet when `response.end` has been called: its bytes may still be buffered in the process,
+ * in the operating system or in the network. Node.js treats a connection as idle from that call on, and destroys a
+ * connection right after its last byte was handed to the operating system. Both truncate responses that are sent
+ * slowly, and callers receive incomplete bodies.
  *
  * @module
  */
@@ -73,9 +73,9 @@
   }
 
   /**
-   * Returns whether a request arrived after the last response of its connection. Such a request must not be run, because
-   * its response could not be sent. Its body is read and discarded: with unread bytes the connection would be reset, and
-   * the last response truncated.
+   * Returns whether a request arrived after the last response of its connection. Such a request must not be run,
+   * because its response could not be sent. Its body is read and discarded: with unread bytes the connection would be
+   * reset, and the last response truncated.
    */
   discardAfterLastResponse(incoming: IncomingMessage): boolean {
     const isEnding = this.connections.get(incoming.socket)?.isEnding === true;
@@ -99,8 +99,8 @@
   }
 
   /**
-   * Ends the connections that have nothing in flight. They linger for a moment: the operating system may still hold bytes
-   * of a response, which a pipelined request to a closed connection would truncate.
+   * Ends the connections that have nothing in flight. They linger for a moment: the operating system may still hold
+   * bytes of a response, which a pipelined request to a closed connection would truncate.
    */
   closeIdle(): void {
     const nowMs = performance.now();
--- a/packages/connections/src/server_connections_test.ts
+++ b/packages/connections/src/server_connections_test.ts
@@ -127,9 +127,9 @@
   });
 
   describe("with a request that has a body after the last response", () => {
-    // Guards against a truncated response: the body of a request after the last response was not read, and Node.js stops
-    // reading after 16 kB of an unread body. The caller's end of the connection was not seen, the connection was closed
-    // 1 s later with the rest of the body unread, and that reset discarded 804 of 1,000 kB of the response.
+    // Guards against a truncated response: the body of a request after the last response was not read, and Node.js
+    // stops reading after 16 kB of an unread body. The caller's end of the connection was not seen, the connection was
+    // closed 1 s later with the rest of the body unread, and that reset discarded 804 of 1,000 kB of the response.
     it("delivers the complete response", async () => {
       handle = (incoming, response) => {
         if (connections.discardAfterLastResponse(incoming)) {
@@ -155,9 +155,9 @@
   });
 
   describe("with a response that was sent before the body of its request arrived", () => {
-    // Guards against a connection that stays busy forever: a request rejected by its headers is answered while its body is
-    // still being sent. The body was counted as a partial further request, and a stopping daemon waited for the connection
-    // until its grace period expired.
+    // Guards against a connection that stays busy forever: a request rejected by its headers is answered while its body
+    // is still being sent. The body was counted as a partial further request, and a stopping daemon waited for the
+    // connection until its grace period expired.
     it("has nothing in flight once the body has arrived", async () => {
       let hasBodyArrived = false;
       handle = (incoming, response) => {
@@ -179,8 +179,8 @@
 
   describe("with an idle connection whose caller sends again", () => {
     // Guards against a truncated response: an idle connection was closed at once while its response was still being
-    // received by a slow caller. The caller's next, pipelined request reached a closed connection, and the reset discarded
-    // 804 of 1,000 kB of the response.
+    // received by a slow caller. The caller's next, pipelined request reached a closed connection, and the reset
+    // discarded 804 of 1,000 kB of the response.
     it("delivers the complete response", async () => {
       handle = (_incoming, response) => {
         response.writeHead(200, { "content-length": RESPONSE_BYTES });
@@ -203,9 +203,9 @@
   });
 
   describe("with a request after one that ends the connection", () => {
-    // Guards against running a request that its caller must assume unread: a stopping daemon marked the response of each
-    // request as the last one of its connection, and still ran requests that arrived before that response was sent. An
-    // order was run in this way.
+    // Guards against running a request that its caller must assume unread: a stopping daemon marked the response of
+    // each request as the last one of its connection, and still ran requests that arrived before that response was
+    // sent. An order was run in this way.
     it("does not run it", async () => {
       const handledResponses: ServerResponse[] = [];
       handle = (incoming, response) => {
@@ -232,10 +232,10 @@
   });
 
   describe("with a connection accepted just before the listener closes", () => {
-    // Guards against a request that is never answered: idle connections were ended in the same turn of the event loop in
-    // which the listener closed. A connection accepted in that turn, immediately followed by its request, was ended too,
-    // so the request was read on an ended connection. Node.js itself treats a connection as idle only after its first
-    // request.
+    // Guards against a request that is never answered: idle connections were ended in the same turn of the event loop
+    // in which the listener closed. A connection accepted in that turn, immediately followed by its request, was ended
+    // too, so the request was read on an ended connection. Node.js itself treats a connection as idle only after its
+    // first request.
     it("answers its request", async () => {
       handle = (incoming, response) => {
         if (!connections.discardAfterLastResponse(incoming)) {
@@ -376,8 +376,8 @@
 
   describe("with a partial request of which no more arrives", () => {
     // Guards against a stopping daemon that is held up until its grace period expires by one caller that stopped in the
-    // middle of its headers: partial headers, or a stray line break after a request, kept a connection busy until its next
-    // response.
+    // middle of its headers: partial headers, or a stray line break after a request, kept a connection busy until its
+    // next response.
     it("closes it after a timeout", async () => {
       await caller.send("GET /part HTT");
       await until(() => connections.busyCount === 1);
--- a/packages/quarantine/src/choose_probation_daemon.ts
+++ b/packages/quarantine/src/choose_probation_daemon.ts
@@ -6,9 +6,9 @@
 import { createHash } from "node:crypto";
 
 /**
- * Chooses one of the given daemons for a request by rendezvous hashing, so all daemons that have the same list choose the
- * same one. Otherwise copies of a poison request that arrive at the same time would each crash a server before the first
- * crash is known.
+ * Chooses one of the given daemons for a request by rendezvous hashing, so all daemons that have the same list choose
+ * the same one. Otherwise copies of a poison request that arrive at the same time would each crash a server before the
+ * first crash is known.
  *
  * @param addresses the addresses of the daemons, in any order.
  * @returns one of the addresses; undefined if there are none.
--- a/packages/quarantine/src/lost_runs.ts
+++ b/packages/quarantine/src/lost_runs.ts
@@ -27,8 +27,8 @@
 /**
  * Lost runs of one backend server for which it is not known yet whether the server crashed or only a connection broke.
  *
- * A connection also breaks when the network resets it or the server aborts a response; other requests are still answered
- * after that.
+ * A connection also breaks when the network resets it or the server aborts a response; other requests are still
+ * answered after that.
  */
 export class LostRuns {
   private runs: LostRun[] = [];
--- a/packages/quarantine/src/poison_request_tracker.ts
+++ b/packages/quarantine/src/poison_request_tracker.ts
@@ -1,12 +1,12 @@
 /**
  * Tracks requests that crash the backend servers that run them.
  *
- * Guards against a request that crashes every server it reaches and is retried under new ids. Harmless requests must not be
- * withheld: they run concurrently with such a request, and servers also crash for other reasons.
+ * Guards against a request that crashes every server it reaches and is retried under new ids. Harmless requests must
+ * not be withheld: they run concurrently with such a request, and servers also crash for other reasons.
  *
- * A request that was running when a server crashed is a suspect: until it is answered, it runs with no other suspect on the
- * same server. It is quarantined if another server crashes while it is the only suspect there, or if it is the only request
- * that was running at several crashes. A response clears it.
+ * A request that was running when a server crashed is a suspect: until it is answered, it runs with no other suspect on
+ * the same server. It is quarantined if another server crashes while it is the only suspect there, or if it is the only
+ * request that was running at several crashes. A response clears it.
  *
  * @module
  */
@@ -257,8 +257,8 @@
   }
 
   /**
-   * Whether a request that was never quarantined was running at enough crashes, and no other request was running at as many
-   * of them. Crashes before a quarantine may be reported after it; they must not cause another one.
+   * Whether a request that was never quarantined was running at enough crashes, and no other request was running at as
+   * many of them. Crashes before a quarantine may be reported after it; they must not cause another one.
    */
   private isAloneAtCrashes(fingerprint: string): boolean {
     const entry = this.entries.get(fingerprint);
@@ -275,7 +275,9 @@
       );
   }
 
-  /** Quarantines a request unless it already is: a run that was started before the quarantine may still crash a server. */
+  /**
+   * Quarantines a request unless it is quarantined already: a run that was started before may still crash a server.
+   */
   private quarantine(fingerprint: string, nowMs: number): void {
     const entry = this.entries.get(fingerprint);
     if (entry !== undefined && entry.expiresAtMs <= nowMs) {
--- a/packages/quarantine/src/poison_request_tracker_test.ts
+++ b/packages/quarantine/src/poison_request_tracker_test.ts
@@ -108,8 +108,8 @@
     });
   });
 
-  // Guards against quarantining a popular request when a copy of the lethal one, started before it became a suspect, ran at
-  // the same time.
+  // Guards against quarantining a popular request when a copy of the lethal one, started before it became a suspect,
+  // ran at the same time.
   describe("when a server crashes with one suspect on probation and a copy of another that is not", () => {
     it("quarantines neither, and the lethal one at the next crash", () => {
       const tracker = createTracker();
@@ -189,7 +189,8 @@
     });
   });
 
-  // Many servers may crash at once for other reasons. The requests that they were running are retried elsewhere, once each.
+  // Many servers may crash at once for other reasons. The requests that they were running are retried elsewhere
+  // once per attempt.
   describe("when many servers crash at once", () => {
     it("quarantines no request that was running at one or two crashes", () => {
       const tracker = createTracker();
--- a/packages/quarantine/src/probation_queue.ts
+++ b/packages/quarantine/src/probation_queue.ts
@@ -5,9 +5,9 @@
  */
 
 /**
- * The first-in, first-out queue of suspects at one server. When a server crashes, all requests that it was running become
- * suspects together and are retried at the same few servers; if they ran concurrently there, all of them would be blamed
- * for the next crash.
+ * The first-in, first-out queue of suspects at one server. When a server crashes, all requests that it was running
+ * become suspects together and are retried at the same few servers; if they ran concurrently there, all of them would
+ * be blamed for the next crash.
  */
 export class ProbationQueue {
   private runningId: number | undefined;
@@ -35,7 +35,11 @@
     return false;
   }
 
-  /** Removes a suspect that has run or was cancelled; returns the id of the one that may run now as a result, if any. */
+  /**
+   * Removes a suspect that has run or was cancelled.
+   *
+   * @returns the id of the suspect that may run now as a result, if any.
+   */
   leave(id: number): number | undefined {
     if (this.runningId !== id) {
       this.waitingIds = this.waitingIds.filter((other) => other !== id);
--- a/packages/quarantine/src/request_fingerprint.ts
+++ b/packages/quarantine/src/request_fingerprint.ts
@@ -19,8 +19,8 @@
 }
 
 /**
- * Returns a fingerprint that stays the same when the caller retries a request: each attempt has a different id, may reach
- * another daemon, and may carry other headers set by the caller.
+ * Returns a fingerprint that stays the same when the caller retries a request: each attempt has a different id, may
+ * reach another daemon, and may carry other headers set by the caller.
  */
 export function fingerprintRequest(content: RequestContent): string {
   const { method, target, headers, body } = content;
--- a/packages/router/src/connection_pool.ts
+++ b/packages/router/src/connection_pool.ts
@@ -6,8 +6,8 @@
 import { Connection } from "./exchange.ts";
 
 /**
- * Reuses the most recently used connection first: surplus connections become idle long enough to be closed, and the most
- * recently used one is the least likely to have been closed by the peer.
+ * Reuses the most recently used connection first: surplus connections become idle long enough to be closed, and the
+ * most recently used one is the least likely to have been closed by the peer.
  */
 export class ConnectionPool {
   private idle: Connection[] = [];
--- a/packages/router/src/exchange.ts
+++ b/packages/router/src/exchange.ts
@@ -88,7 +88,7 @@
     return new Connection(client, peer, end);
   }
 
-  /** When the last exchange ended, on the caller's clock. */
+  /** When the last exchange ended, on the clock of its `nowMs` option. */
   get lastUsedAtMs(): number {
     return this.lastExchangeAtMs;
   }
@@ -237,9 +237,9 @@
 /**
  * Whether a response that the HTTP client reports as complete really is.
  *
- * The client treats everything received before a reset, or before the end of the connection, as the complete response, so
- * a caller would get a truncated response that looks complete. Only a response without framing may be delimited by the end
- * of its connection, and only if the connection was closed without a reset.
+ * The client treats everything received before a reset, or before the end of the connection, as the complete response,
+ * so a caller would get a truncated response that looks complete. Only a response without framing may be delimited by
+ * the end of its connection, and only if the connection was closed without a reset.
  */
 function isComplete(headers: ResponseHeaders, end: ConnectionEnd): boolean {
   switch (end.state) {
--- a/packages/router/src/frame_socket.ts
+++ b/packages/router/src/frame_socket.ts
@@ -15,8 +15,8 @@
 } from "./link_codec.ts";
 
 /**
- * How long the other side may take to close a link that was ended, in milliseconds. It closes the link after it has read
- * everything; a stopping daemon allows 700 ms for closing.
+ * How long the other side may take to close a link that was ended, in milliseconds. It closes the link after it has
+ * read everything; a stopping daemon allows 700 ms for closing.
  */
 const LINGER_TIMEOUT_MS = 400;
 
--- a/packages/router/src/link_codec.ts
+++ b/packages/router/src/link_codec.ts
@@ -1,9 +1,9 @@
 /**
- * Encodes and decodes the frames in which requests and their outcomes are sent over the link between two daemons. A link
- * carries many requests concurrently. Times are sent as remaining durations, because daemons have no common clock.
+ * Encodes and decodes the frames in which requests and their outcomes are sent over the link between two daemons. A
+ * link carries many requests concurrently. Times are sent as remaining durations, because daemons have no common clock.
  *
- * A frame consists of its length (4 bytes), its kind (1), the request id (4), the length of its head (4), the head as JSON,
- * and the raw body. Numbers are little-endian.
+ * A frame consists of its length (4 bytes), its kind (1), the request id (4), the length of its head (4), the head as
+ * JSON, and the raw body. Numbers are little-endian.
  *
  * @module
  */
--- a/packages/router/src/link_server.ts
+++ b/packages/router/src/link_server.ts
@@ -20,14 +20,14 @@
 import { notRun, type Outcome, type RoutedRequest } from "./routed_request.ts";
 
 /**
- * Delay after which an unfinished request is acknowledged, in milliseconds. Many requests are answered sooner, and their
- * outcome serves as the acknowledgement without another packet.
+ * Delay after which an unfinished request is acknowledged, in milliseconds. Many requests are answered sooner, and
+ * their outcome serves as the acknowledgement without another packet.
  */
 const ACKNOWLEDGE_DELAY_MS = 60;
 
 /**
- * Factor on the estimated wait of a late response, because on-time responses that become ready later are also sent before
- * it. Without it, one download in six on a busy host was produced but not delivered by its deadline.
+ * Factor on the estimated wait of a late response, because on-time responses that become ready later are also sent
+ * before it. Without it, one download in six on a busy host was produced but not delivered by its deadline.
  */
 const LATE_WAIT_FACTOR = 2;
 
@@ -72,9 +72,9 @@
   }
 
   /**
-   * How many requests are in flight or have a response that waits to be sent, plus the number of links with unsent bytes:
-   * responses that are buffered when the process exits would be lost, and their callers would be told that their requests
-   * may have run.
+   * How many requests are in flight or have a response that waits to be sent, plus the number of links with unsent
+   * bytes: responses that are buffered when the process exits would be lost, and their callers would be told that their
+   * requests may have run.
    */
   get activeCount(): number {
     const inFlight = [...this.links].reduce(
@@ -221,8 +221,8 @@
 }
 
 /**
- * Brings a request's objective and deadline forward by the time that its response will wait for the link. Otherwise servers
- * would run requests whose responses cannot arrive in time, at the cost of those that could.
+ * Brings a request's objective and deadline forward by the time that its response will wait for the link. Otherwise
+ * servers would run requests whose responses cannot arrive in time, at the cost of those that could.
  */
 function reserveLinkTime(
   request: RoutedRequest,
--- a/packages/router/src/probe_backend.ts
+++ b/packages/router/src/probe_backend.ts
@@ -15,7 +15,8 @@
 /**
  * Sends a health check on a separate connection.
  *
- * @returns the incarnation that answered, or whether the connection was refused; `silent` if there was no usable response
+ * @returns the incarnation that answered, or whether the connection was refused; `silent` if there was no usable
+ *   response
  *   in time.
  */
 export async function probeBackend(
--- a/packages/router/src/response_sender_test.ts
+++ b/packages/router/src/response_sender_test.ts
@@ -70,8 +70,8 @@
       expect(received).to.deep.equal(large);
     });
 
-    // Guards against small responses that take as long as large ones of the same server: a large response was written to a
-    // slow link and a refusal right after it, and a link sends everything in the order in which it was written.
+    // Guards against small responses that take as long as large ones of the same server: a large response was written
+    // to a slow link and a refusal right after it, and a link sends everything in the order in which it was written.
     it("sends small outcomes before the rest of it", async () => {
       const large = createLarge(300_000);
       const received = await exchange([large, notRun("overloaded")]);
