--- a/packages/admission/src/cold_start_pacer_test.ts
+++ b/packages/admission/src/cold_start_pacer_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the pace of requests to a cold backend server, with replays of the loads that crash one.
+ * Tests of the rate limit of a cold backend server, with replays of loads that would crash one.
  *
  * @module
  */
@@ -9,15 +9,15 @@
 import { WorkQueue } from "./work_queue.ts";
 
 const SECOND_MS = 1_000;
-/** Most requests in one second. */
+/** Maximum number of requests in one second. */
 const LIMIT = 21;
-/** How much later than sent a request may arrive, in milliseconds. */
+/** Maximum delay between sending a request and its arrival, in milliseconds. */
 const JITTER_MS = 50;
 const COLD_MS = 3_000;
 const WORK_MS = 100;
 const SLOTS = 8;
 
-/** The most of these times within one second. */
+/** Maximum number of the given times within one second. */
 function countInOneSecond(times: readonly number[]): number {
   return Math.max(
     0,
@@ -33,21 +33,21 @@
   load: { fromMs: number; untilMs: number; perSecond: number },
 ): number[] {
   const starts: number[] = [];
-  const ends: { id: number; atMs: number }[] = [];
+  const endings: { id: number; atMs: number }[] = [];
   const start = (id: number, nowMs: number) => {
     starts.push(nowMs);
-    ends.push({ id, atMs: nowMs + WORK_MS });
+    endings.push({ id, atMs: nowMs + WORK_MS });
   };
-  const everyMs = SECOND_MS / load.perSecond;
-  let nextMs = load.fromMs;
+  const intervalMs = SECOND_MS / load.perSecond;
+  let nextArrivalMs = load.fromMs;
   for (let nowMs = load.fromMs; nowMs < load.untilMs; nowMs += 1) {
-    ends.filter(({ atMs }) => atMs === nowMs).forEach(({ id }) =>
+    endings.filter(({ atMs }) => atMs === nowMs).forEach(({ id }) =>
       queue.finish(id, nowMs).run.forEach((next) => start(next, nowMs))
     );
     queue.advance(nowMs).run.forEach((id) => start(id, nowMs));
-    while (nextMs <= nowMs) {
-      const id = nextMs;
-      const verdict = queue.offer({
+    while (nextArrivalMs <= nowMs) {
+      const id = nextArrivalMs;
+      const decision = queue.offer({
         id,
         rank: 2,
         objectiveAtMs: nowMs + 400,
@@ -55,10 +55,10 @@
         estimateMs: WORK_MS,
         mayEndLate: true,
       }, nowMs);
-      if (verdict.kind === "run") {
+      if (decision.kind === "run") {
         start(id, nowMs);
       }
-      nextMs += everyMs;
+      nextArrivalMs += intervalMs;
     }
   }
   return starts;
@@ -87,7 +87,7 @@
   });
 
   describe("at a cold server", () => {
-    it("tells until when each of those that wait may start", () => {
+    it("returns the delay after which each waiting request may start", () => {
       const pacer = ColdStartPacer.create(-SECOND_MS * 2);
       pacer.setLimit(2);
       pacer.setColdUntil(COLD_MS);
@@ -101,11 +101,11 @@
     });
   });
 
-  describe("under any sequence of limits, colds and requests", () => {
-    it("never lets more start in one second than the limit in force", () => {
+  describe("under any sequence of limits, cold periods and requests", () => {
+    it("never starts more requests in one second than the current limit", () => {
       const event = fc.record({
         kind: fc.constantFrom("start", "start", "start", "cold", "unlimited"),
-        passMs: fc.nat(120),
+        elapsedMs: fc.nat(120),
       });
       const property = fc.property(
         fc.array(event, { maxLength: 200 }),
@@ -115,8 +115,8 @@
           let nowMs = 0;
           let starts: number[] = Array.from({ length: LIMIT }, () => 0);
           let isLimited = true;
-          events.forEach(({ kind, passMs }) => {
-            nowMs += passMs;
+          events.forEach(({ kind, elapsedMs }) => {
+            nowMs += elapsedMs;
             if (kind === "unlimited") {
               isLimited = !isLimited;
               pacer.setLimit(isLimited ? LIMIT : 0);
@@ -136,9 +136,9 @@
     });
   });
 
-  // Guards against a zone that returns cold being given its full traffic, crashing, and returning cold again.
+  // Guards against a zone that returns cold being sent its full traffic, crashing, and returning cold again.
   describe("replaying a server that returns cold at full traffic", () => {
-    it("gives it no more than it bears, and more once it is warm", () => {
+    it("sends it no more than the limit, and more once it is warm", () => {
       const { queue, pacer } = createQueue(-60_000);
       pacer.setColdUntil(COLD_MS);
       const load = { fromMs: 0, untilMs: 5_000, perSecond: 200 };
@@ -150,9 +150,9 @@
     });
   });
 
-  // Guards against a warm server that turns cold without a restart being given a second's worth on top of its traffic.
-  describe("replaying a server that turns cold at full traffic", () => {
-    it("counts what it was given before", () => {
+  // Guards against a warm server that becomes cold without a restart being sent a full window on top of its traffic.
+  describe("replaying a server that becomes cold at full traffic", () => {
+    it("counts the requests that were sent before", () => {
       const { queue, pacer } = createQueue(-60_000);
       replay(queue, { fromMs: 0, untilMs: 2_000, perSecond: 60 });
       pacer.setColdUntil(2_000 + COLD_MS);
@@ -163,9 +163,9 @@
     });
   });
 
-  // Guards against a daemon that starts again giving a cold server a second's worth that its earlier process gave, too.
-  describe("replaying a daemon that starts again beside a cold server", () => {
-    it("counts what its earlier process may have given", () => {
+  // Guards against a restarted daemon sending a cold server a full window that its earlier process has sent already.
+  describe("replaying a daemon that restarts beside a cold server", () => {
+    it("counts the requests that its earlier process may have sent", () => {
       const { queue, pacer } = createQueue(0);
       pacer.setColdUntil(COLD_MS);
       const load = { fromMs: 300, untilMs: COLD_MS, perSecond: 200 };
@@ -175,17 +175,17 @@
     });
   });
 
-  // Guards against servers that all return at once being given their load in the first second.
+  // Guards against servers that all return at once being sent their full load in the first second.
   describe("replaying 80 servers that return at once", () => {
-    it("gives each what it bears, and tells the others how long it takes", () => {
-      const told = Array.from({ length: 80 }, (_, index) => {
+    it("sends each no more than the limit, and reports how long a request waits", () => {
+      const reportedWaitsMs = Array.from({ length: 80 }, (_, index) => {
         const { queue, pacer } = createQueue(index * 10);
         pacer.setColdUntil(COLD_MS + index * 10);
         const load = { fromMs: index * 10, untilMs: COLD_MS, perSecond: 40 };
         expect(countInOneSecond(replay(queue, load))).to.be.at.most(LIMIT);
         return queue.waitMs(COLD_MS - 100);
       });
-      expect(Math.min(...told)).to.be.above(0);
+      expect(Math.min(...reportedWaitsMs)).to.be.above(0);
     });
   });
 });
--- a/packages/admission/src/fleet_retry_budget_test.ts
+++ b/packages/admission/src/fleet_retry_budget_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the bound on resends over the fleet.
+ * Tests of the bound on the retries of the whole fleet.
  *
  * @module
  */
@@ -9,12 +9,12 @@
 
 const LIMITS = { ratio: 0.2, extra: 60, windowMs: 10_000 };
 
-describe("resend budget", () => {
-  describe("for any requests at daemons that know nothing of each other", () => {
-    it("keeps all resends of a window within the allowance of the fleet", () => {
+describe("FleetRetryBudget", () => {
+  describe("for any requests at daemons without coordination", () => {
+    it("keeps the retries of a window within the allowance of the fleet", () => {
       const requests = fc.array(fc.nat(200), { minLength: 2, maxLength: 8 });
       const property = fc.property(requests, (perDaemon) => {
-        const resends = perDaemon.map((count) => {
+        const retries = perDaemon.map((count) => {
           const budget = FleetRetryBudget.create(LIMITS);
           Array.from(
             { length: count },
@@ -32,16 +32,16 @@
           }
           return sent;
         });
-        const all = perDaemon.reduce((sum, count) => sum + count, 0);
-        const sent = resends.reduce((sum, count) => sum + count, 0);
-        expect(sent).to.be.at.most(LIMITS.ratio * all + LIMITS.extra);
+        const requestCount = perDaemon.reduce((sum, count) => sum + count, 0);
+        const sent = retries.reduce((sum, count) => sum + count, 0);
+        expect(sent).to.be.at.most(LIMITS.ratio * requestCount + LIMITS.extra);
       });
       fc.assert(property, { seed: 5, numRuns: 200 });
     });
   });
 
   describe("after a window", () => {
-    it("forgets what was sent", () => {
+    it("no longer counts its retries", () => {
       const budget = FleetRetryBudget.create({ ...LIMITS, extra: 2 });
       budget.recordRetry("service", 0);
       expect(budget.allows("service", { nowMs: 1, daemons: 1 })).to.equal(
--- a/packages/admission/src/late_request_queue_test.ts
+++ b/packages/admission/src/late_request_queue_test.ts
@@ -1,6 +1,6 @@
 /**
- * Replays of loads in which a late answer can take the place of a refusal, each beside the same load without
- * the lane for late requests.
+ * Replays of loads in which a late response can replace a refusal, each compared with the same load without the queue
+ * for late requests.
  *
  * @module
  */
@@ -9,140 +9,142 @@
 
 const SLOTS = 12;
 const WORK_MS = 250;
-/** What the slots can do, in requests a second. */
+/** Throughput of the slots, in requests per second. */
 const CAPACITY = SLOTS * 1_000 / WORK_MS;
 const OBJECTIVE_MS = 600;
 const DEADLINE_MS = 1_200;
-/** How long a caller waits in all, and after which time it comes back once when it was refused. */
-const PATIENCE_MS = 2_500;
-const RETURN_MS = 650;
-/** Steps of the replay, in milliseconds. */
-const LENGTH_MS = 20_000;
+/** How long a caller waits in total, and the delay after which it retries once if it was refused. */
+const MAX_WAIT_MS = 2_500;
+const RETRY_DELAY_MS = 650;
+/** Duration of the replay, in milliseconds. */
+const DURATION_MS = 20_000;
 
-interface Replayed {
-  inTime: number;
+interface ReplayResult {
+  onTime: number;
   late: number;
   refused: number;
-  /** The longest time for which a request waited before it was refused, in milliseconds. */
-  longestInVainMs: number;
+  /** Longest wait of a request that was then refused, in milliseconds. */
+  maxWaitBeforeRefusalMs: number;
 }
 
-/** One caller. */
 interface Caller {
-  readonly bornMs: number;
-  hasReturned: boolean;
+  readonly arrivedAtMs: number;
+  hasRetried: boolean;
 }
 
-/** Plays arrivals through a queue; a deadline that equals the objective switches the lane off. */
+/** Replays arrivals through a queue; a deadline that equals the objective disables the queue for late requests. */
 function replay(
   perSecondAt: (nowMs: number) => number,
   deadlineMs = DEADLINE_MS,
-): Replayed {
+): ReplayResult {
   const queue = WorkQueue.create();
   queue.setSlots(SLOTS);
   const callers = new Map<number, Caller>();
-  const arrivedMs = new Map<number, number>();
-  const ends = new Map<number, number[]>();
-  const returns = new Map<number, Caller[]>();
-  const counts = { inTime: 0, late: 0, refused: 0, longestInVainMs: 0 };
-  let owed = 0;
-  let last = 0;
+  const offeredAtMs = new Map<number, number>();
+  const endsByTime = new Map<number, number[]>();
+  const retriesByTime = new Map<number, Caller[]>();
+  const counts = { onTime: 0, late: 0, refused: 0, maxWaitBeforeRefusalMs: 0 };
+  let pendingArrivals = 0;
+  let lastId = 0;
   const start = (id: number, nowMs: number) => {
-    const atMs = nowMs + WORK_MS;
-    ends.set(atMs, [...ends.get(atMs) ?? [], id]);
+    const dueAtMs = nowMs + WORK_MS;
+    endsByTime.set(dueAtMs, [...endsByTime.get(dueAtMs) ?? [], id]);
   };
   const refuse = (id: number, nowMs: number) => {
     const caller = callers.get(id)!;
-    const waitedMs = nowMs - arrivedMs.get(id)!;
-    counts.longestInVainMs = Math.max(counts.longestInVainMs, waitedMs);
-    if (caller.hasReturned) {
+    const waitedMs = nowMs - offeredAtMs.get(id)!;
+    counts.maxWaitBeforeRefusalMs = Math.max(
+      counts.maxWaitBeforeRefusalMs,
+      waitedMs,
+    );
+    if (caller.hasRetried) {
       counts.refused += 1;
       return;
     }
-    caller.hasReturned = true;
-    const atMs = nowMs + RETURN_MS;
-    returns.set(atMs, [...returns.get(atMs) ?? [], caller]);
+    caller.hasRetried = true;
+    const dueAtMs = nowMs + RETRY_DELAY_MS;
+    retriesByTime.set(dueAtMs, [...retriesByTime.get(dueAtMs) ?? [], caller]);
   };
   const offer = (caller: Caller, nowMs: number) => {
-    last += 1;
-    callers.set(last, caller);
-    arrivedMs.set(last, nowMs);
-    const leftMs = caller.bornMs + PATIENCE_MS - nowMs;
-    const objectiveAtMs = caller.bornMs + OBJECTIVE_MS;
-    const isLaneOff = deadlineMs === OBJECTIVE_MS;
-    const verdict = queue.offer({
-      id: last,
+    lastId += 1;
+    callers.set(lastId, caller);
+    offeredAtMs.set(lastId, nowMs);
+    const remainingMs = caller.arrivedAtMs + MAX_WAIT_MS - nowMs;
+    const objectiveAtMs = caller.arrivedAtMs + OBJECTIVE_MS;
+    const isLateQueueDisabled = deadlineMs === OBJECTIVE_MS;
+    const decision = queue.offer({
+      id: lastId,
       rank: 2,
       objectiveAtMs,
-      deadlineAtMs: isLaneOff
+      deadlineAtMs: isLateQueueDisabled
         ? Math.max(objectiveAtMs, nowMs + WORK_MS)
-        : nowMs + Math.min(leftMs, deadlineMs),
+        : nowMs + Math.min(remainingMs, deadlineMs),
       estimateMs: WORK_MS,
       mayEndLate: true,
     }, nowMs);
-    if (verdict.kind === "run") {
-      start(last, nowMs);
-    } else if (verdict.kind === "refuse") {
-      refuse(last, nowMs);
+    if (decision.kind === "run") {
+      start(lastId, nowMs);
+    } else if (decision.kind === "refuse") {
+      refuse(lastId, nowMs);
     }
   };
-  Array.from({ length: LENGTH_MS }, (_, nowMs) => {
-    (ends.get(nowMs) ?? []).forEach((id) => {
-      const isInTime = nowMs - callers.get(id)!.bornMs <= OBJECTIVE_MS;
-      counts[isInTime ? "inTime" : "late"] += 1;
+  Array.from({ length: DURATION_MS }, (_, nowMs) => {
+    (endsByTime.get(nowMs) ?? []).forEach((id) => {
+      const isOnTime = nowMs - callers.get(id)!.arrivedAtMs <= OBJECTIVE_MS;
+      counts[isOnTime ? "onTime" : "late"] += 1;
       const { run, refuse: refused } = queue.finish(id, nowMs);
       run.forEach((next) => start(next, nowMs));
       refused.forEach((next) => refuse(next.id, nowMs));
     });
-    (returns.get(nowMs) ?? []).forEach((caller) => offer(caller, nowMs));
-    owed += perSecondAt(nowMs) / 1_000;
-    while (owed >= 1) {
-      owed -= 1;
-      offer({ bornMs: nowMs, hasReturned: false }, nowMs);
+    (retriesByTime.get(nowMs) ?? []).forEach((caller) => offer(caller, nowMs));
+    pendingArrivals += perSecondAt(nowMs) / 1_000;
+    while (pendingArrivals >= 1) {
+      pendingArrivals -= 1;
+      offer({ arrivedAtMs: nowMs, hasRetried: false }, nowMs);
     }
   });
   return counts;
 }
 
-describe("late lane", () => {
-  describe("replaying waves with valleys between them", () => {
-    const wave = (nowMs: number) =>
+describe("LateRequestQueue", () => {
+  describe("replaying load peaks with quieter periods between them", () => {
+    const peaks = (nowMs: number) =>
       CAPACITY * (0.95 + 0.4 * Math.sin(2 * Math.PI * nowMs / 3_000));
 
-    it("serves late most of what would be refused, and no less in time", () => {
-      const without = replay(wave, OBJECTIVE_MS);
-      const { inTime, refused } = replay(wave);
+    it("serves most requests late that would be refused, and no fewer on time", () => {
+      const without = replay(peaks, OBJECTIVE_MS);
+      const { onTime, refused } = replay(peaks);
       expect(refused).to.be.below(without.refused * 0.6);
-      expect(inTime).to.be.above(without.inTime * 0.97);
+      expect(onTime).to.be.above(without.onTime * 0.97);
     });
   });
 
   describe("replaying a steady overload", () => {
     const overload = () => CAPACITY * 1.5;
 
-    it("serves as much in time as without it", () => {
+    it("serves as many requests on time as without it", () => {
       const without = replay(overload, OBJECTIVE_MS);
-      expect(replay(overload).inTime).to.be.above(without.inTime * 0.95);
+      expect(replay(overload).onTime).to.be.above(without.onTime * 0.95);
     });
 
-    it("refuses most at once, and nobody at the last moment", () => {
-      const { refused, longestInVainMs } = replay(overload);
+    it("refuses most requests at once, and none shortly before its deadline", () => {
+      const { refused, maxWaitBeforeRefusalMs } = replay(overload);
       expect(refused).to.be.above(0);
-      expect(longestInVainMs).to.be.below(DEADLINE_MS * 0.7);
+      expect(maxWaitBeforeRefusalMs).to.be.below(DEADLINE_MS * 0.7);
     });
   });
 
-  describe("replaying a burst of a second", () => {
+  describe("replaying bursts of 1 s", () => {
     const burst = (nowMs: number) =>
       CAPACITY * (nowMs % 5_000 < 1_000 ? 1.6 : 0.7);
 
-    it("serves the burst's rest late", () => {
+    it("serves the rest of the burst late", () => {
       const without = replay(burst, OBJECTIVE_MS);
-      const { inTime, late, refused } = replay(burst);
+      const { onTime, late, refused } = replay(burst);
       expect(without.refused).to.be.above(40);
       expect(refused).to.be.below(without.refused / 2);
       expect(late).to.be.above(0);
-      expect(inTime).to.be.above(without.inTime * 0.97);
+      expect(onTime).to.be.above(without.onTime * 0.97);
     });
   });
 });
--- a/packages/admission/src/link_pacer_test.ts
+++ b/packages/admission/src/link_pacer_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of how large answers share a link with small ones.
+ * Tests of how large responses share a link with small ones.
  *
  * @module
  */
@@ -9,27 +9,27 @@
 /** A link of 10.5 Mbit/s. */
 const BYTES_PER_SECOND = 1_312_500;
 const PIECE_BYTES = 32_768;
-const ANSWER_BYTES = 94_500;
+const RESPONSE_BYTES = 94_500;
 
 interface Sent {
   readonly objectiveAtMs: number;
-  readonly leftAtMs: number;
+  readonly sentAtMs: number;
 }
 
 /**
- * Plays a time in which a server makes so many answers a second; returns when each had left, and the longest time that a
- * small message would have waited behind what was written.
+ * Simulates a server that produces large responses at the given rate for `forMs` milliseconds; returns when each
+ * response was sent, and the longest time for which a small message would have waited behind the written data.
  */
-function play(answersASecond: number, isPaced: boolean, forMs = 1_000) {
+function simulate(responsesPerSecond: number, isPaced: boolean, forMs = 1_000) {
   const pacer = LinkPacer.create<WaitingResponse>(
     isPaced ? BYTES_PER_SECOND : Infinity,
   );
   const sent: Sent[] = [];
   let linkFreeAtMs = 0;
-  let longestWaitMs = 0;
+  let maxWaitMs = 0;
   for (let nowMs = 0; nowMs < 2 * forMs; nowMs += 1) {
-    if (nowMs < forMs && nowMs % Math.round(1_000 / answersASecond) === 0) {
-      pacer.add({ objectiveAtMs: nowMs + 700, remainingBytes: ANSWER_BYTES });
+    if (nowMs < forMs && nowMs % Math.round(1_000 / responsesPerSecond) === 0) {
+      pacer.add({ objectiveAtMs: nowMs + 700, remainingBytes: RESPONSE_BYTES });
     }
     for (let next = pacer.next(nowMs); next; next = pacer.next(nowMs)) {
       const bytes = Math.min(PIECE_BYTES, next.remainingBytes);
@@ -39,50 +39,48 @@
         bytes / (BYTES_PER_SECOND / 1_000);
       if (next.remainingBytes === 0) {
         const { objectiveAtMs } = next;
-        sent.push({ objectiveAtMs, leftAtMs: linkFreeAtMs });
-        pacer.remove((answer) => answer.remainingBytes === 0);
+        sent.push({ objectiveAtMs, sentAtMs: linkFreeAtMs });
+        pacer.remove((response) => response.remainingBytes === 0);
       }
     }
-    longestWaitMs = Math.max(longestWaitMs, linkFreeAtMs - nowMs);
+    maxWaitMs = Math.max(maxWaitMs, linkFreeAtMs - nowMs);
   }
-  return { sent, longestWaitMs };
+  return { sent, maxWaitMs };
 }
 
-describe("link pacer", () => {
-  describe("when more large answers are made than the link carries", () => {
-    // Symptom: small calls to a host of large answers end at their deadline, and it seems silent.
-    // Sequence: 20 answers of 94 kB a second are written to a link that carries 14.
-    // Cause: what waits for the link waits in its buffers, in front of all that is written later.
-    it("lets small messages wait for one piece at most", () => {
-      expect(play(20, false).longestWaitMs).to.be.above(400);
-      expect(play(20, true).longestWaitMs).to.be.below(40);
+describe("LinkPacer", () => {
+  describe("when more large responses are produced than the link carries", () => {
+    // Guards against small calls to a host running into their deadlines, and the host seeming unresponsive: with 20
+    // responses of 94 kB per second on a link that carries 14, the link's buffers delay everything that is written later.
+    it("delays small messages by one piece at most", () => {
+      expect(simulate(20, false).maxWaitMs).to.be.above(400);
+      expect(simulate(20, true).maxWaitMs).to.be.below(40);
     });
 
-    it("uses the link as well as without", () => {
-      const paced = play(20, true).sent.at(-1)!.leftAtMs;
-      const unpaced = play(20, false).sent.at(-1)!.leftAtMs;
+    it("uses the link as fully as without pacing", () => {
+      const paced = simulate(20, true).sent.at(-1)!.sentAtMs;
+      const unpaced = simulate(20, false).sent.at(-1)!.sentAtMs;
       expect(paced).to.be.below(unpaced * 1.02);
     });
   });
 
-  describe("when it is asked for a third more than it carries, for long", () => {
-    // Symptom: hardly any download of a busy host arrives in time, although three in four could.
-    // Sequence: 20 answers of 94 kB a second for 4 s, each wanted within 700 ms, over a link that carries 14.
-    // Cause: the one that was wanted first went first, also when it was late already.
-    it("keeps most of those in time that it can carry", () => {
-      const { sent } = play(20, true, 4_000);
-      const inTime = sent.filter(({ objectiveAtMs, leftAtMs }) =>
-        leftAtMs <= objectiveAtMs
+  describe("when the link is overloaded by a third for seconds", () => {
+    // Guards against hardly any download arriving on time although three in four could: 20 responses of 94 kB per
+    // second for 4 s, each due within 700 ms, over a link that carries 14, went by objective even if already late.
+    it("sends most of the responses on time that the link can carry", () => {
+      const { sent } = simulate(20, true, 4_000);
+      const onTime = sent.filter(({ objectiveAtMs, sentAtMs }) =>
+        sentAtMs <= objectiveAtMs
       );
-      expect(inTime).to.have.length.above(45);
+      expect(onTime).to.have.length.above(45);
     });
   });
 
-  describe("when an answer is asked for", () => {
-    it("expects what waits, what is being made and the answer itself to leave first", () => {
+  describe("when a response is requested", () => {
+    it("includes waiting responses, those being produced and the response itself in the estimate", () => {
       const pacer = LinkPacer.create<WaitingResponse>(1_000_000);
       pacer.recordWritten(20_000, 0);
-      // Late already, so one that is in time goes before it.
+      // Already late, so a response that is on time is sent before it.
       pacer.add({ objectiveAtMs: 0, remainingBytes: 30_000 });
       expect(pacer.estimateDelay(50_000, 10)).to.deep.equal({
         onTimeMs: 60,
@@ -91,8 +89,8 @@
     });
   });
 
-  describe("when answers wait", () => {
-    it("lets go first what is wanted first", () => {
+  describe("when responses wait", () => {
+    it("sends the one with the earliest objective first", () => {
       const pacer = LinkPacer.create<WaitingResponse>(1_000_000);
       pacer.add({ objectiveAtMs: 900, remainingBytes: 1 });
       pacer.add({ objectiveAtMs: 300, remainingBytes: 1 });
@@ -101,7 +99,7 @@
   });
 
   describe("of a link whose speed is not known", () => {
-    it("holds nothing back", () => {
+    it("delays nothing", () => {
       const pacer = LinkPacer.create<WaitingResponse>(Infinity);
       pacer.recordWritten(1e9, 0);
       expect(pacer.delayMs(0)).to.equal(0);
--- a/packages/admission/src/work_queue_test.ts
+++ b/packages/admission/src/work_queue_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the queue in front of a backend server's slots, and a replay of the load it is made for.
+ * Tests of the request queue of a backend server, with replays of overload and of a slow server.
  *
  * @module
  */
@@ -30,9 +30,9 @@
   return queue;
 }
 
-describe("work queue", () => {
+describe("WorkQueue", () => {
   describe("while slots are free", () => {
-    it("runs a request at once, also one that is late already", () => {
+    it("runs a request at once, even if it is already late", () => {
       const queue = WorkQueue.create();
       queue.setSlots(1);
       const late = request(1, { objectiveAtMs: -50 });
@@ -40,26 +40,24 @@
     });
   });
 
-  describe("while all slots are taken", () => {
-    it("lets the more urgent go first", () => {
+  describe("while all slots are busy", () => {
+    it("starts the more urgent request first", () => {
       const queue = fullQueue(1);
       expect(queue.offer(request(1), 0).kind).to.equal("wait");
       expect(queue.offer(request(2, { rank: 1 }), 0).kind).to.equal("wait");
       expect(queue.finish(1_000, 100).run).to.deep.equal([2]);
     });
 
-    it("refuses at once what can't be done before its deadline", () => {
+    it("refuses at once a request that can't finish before its deadline", () => {
       const queue = fullQueue(1);
       const short = request(1, { deadlineAtMs: 150, objectiveAtMs: 150 });
-      const verdict = queue.offer(short, 0);
-      expect(verdict).to.deep.include({ kind: "refuse", reason: "too_late" });
+      const decision = queue.offer(short, 0);
+      expect(decision).to.deep.include({ kind: "refuse", reason: "too_late" });
     });
 
-    // Symptom: short requests with room at their own server are answered late.
-    // Sequence: a caller sends one for a full server and a short one right behind it on the same connection; the
-    // first waits for a second for a slot that nobody in time wants.
-    // Cause: answers go out in the order of the requests, so the first one's lateness was the second's, too.
-    it("refuses at once what others wait behind and would be late", () => {
+    // Guards against short requests being answered late although their own server has capacity: on a pipelined
+    // connection responses keep the order of the requests, so a late one that waits 1 s for a slot delays those behind.
+    it("refuses at once a request that would be late and has others behind it", () => {
       const queue = fullQueue(1);
       const late = { objectiveAtMs: 150 };
       expect(queue.offer(request(1, late), 0).kind).to.equal("wait");
@@ -70,7 +68,7 @@
       });
     });
 
-    it("expects the slot that is free first, not the mean of all", () => {
+    it("estimates the wait from the slot that becomes free first, not from the mean", () => {
       const queue = WorkQueue.create();
       queue.setSlots(2);
       queue.offer(request(1, { estimateMs: 400 }), 0);
@@ -78,11 +76,9 @@
       expect(queue.waitMs(0)).to.equal(20);
     });
 
-    it("takes an urgent request late rather than refuse it while less urgent ones make room", () => {
-      // Symptom: orders fail while their server is idle: the lot check that an order makes was refused.
-      // Sequence: the archive runs long reports; a short urgent check arrives whose objective is shorter
-      // than what is left of any report.
-      // Cause: the check was refused for missing its objective, and the order's work was wasted.
+    // Guards against orders failing because a short urgent check that they make is refused: long reports occupy the
+    // slots, and the check's objective is shorter than their remaining time, so it can't be met.
+    it("queues an urgent request that will be late rather than refuse it, while less urgent ones run", () => {
       const queue = fullQueue(2);
       const check = request(1, {
         rank: 1,
@@ -95,11 +91,11 @@
   });
 
   describe("under any sequence of events", () => {
-    it("never runs more than its slots, and gives each request one end", () => {
+    it("never runs more requests than it has slots, and ends each request once", () => {
       const event = fc.record({
         kind: fc.constantFrom("offer", "finish", "cancel", "advance"),
         rank: fc.nat(2),
-        passMs: fc.nat(60),
+        elapsedMs: fc.nat(60),
         estimateMs: fc.integer({ min: 1, max: 120 }),
         pick: fc.nat(20),
       });
@@ -111,16 +107,16 @@
           const running = new Set<number>();
           const waiting = new Set<number>();
           let nowMs = 0;
-          const begin = (id: number) => {
+          const markRunning = (id: number) => {
             expect(waiting.delete(id)).to.equal(true);
             running.add(id);
           };
-          events.forEach(({ kind, rank, passMs, estimateMs, pick }, id) => {
-            nowMs += passMs;
-            const some = (from: Set<number>) =>
+          events.forEach(({ kind, rank, elapsedMs, estimateMs, pick }, id) => {
+            nowMs += elapsedMs;
+            const pickFrom = (from: Set<number>) =>
               [...from][pick % Math.max(1, from.size)];
             if (kind === "offer") {
-              const verdict = queue.offer(
+              const decision = queue.offer(
                 request(id, {
                   rank,
                   estimateMs,
@@ -129,18 +125,18 @@
                 }),
                 nowMs,
               );
-              if (verdict.kind === "run") {
+              if (decision.kind === "run") {
                 running.add(id);
-              } else if (verdict.kind === "wait") {
+              } else if (decision.kind === "wait") {
                 waiting.add(id);
               }
             }
-            const finished = some(running);
-            const cancelled = some(waiting);
+            const finished = pickFrom(running);
+            const cancelled = pickFrom(waiting);
             const changes = kind === "finish" && finished !== undefined
               ? (running.delete(finished), queue.finish(finished, nowMs))
               : queue.advance(nowMs);
-            changes.run.forEach(begin);
+            changes.run.forEach(markRunning);
             changes.refuse.forEach(({ id: refused }) =>
               expect(waiting.delete(refused)).to.equal(true)
             );
@@ -161,81 +157,79 @@
     });
   });
 
-  describe("replaying three times the load that the slots can do", () => {
-    it("serves nearly as much in time as at capacity", () => {
+  describe("replaying three times the load that the slots can serve", () => {
+    it("serves nearly as many requests on time as at capacity", () => {
       const slots = 6;
       const workMs = 100;
-      const served = (perSecond: number) => {
+      const countOnTime = (perSecond: number) => {
         const queue = WorkQueue.create();
         queue.setSlots(slots);
-        const ends: { id: number; atMs: number }[] = [];
-        const due = new Map<number, number>();
-        let good = 0;
+        const endings: { id: number; atMs: number }[] = [];
+        const objectives = new Map<number, number>();
+        let onTimeCount = 0;
         Array.from({ length: 10_000 }, (_, nowMs) => {
-          ends.filter(({ atMs }) => atMs === nowMs).forEach(({ id }) => {
-            good += nowMs <= due.get(id)! ? 1 : 0;
+          endings.filter(({ atMs }) => atMs === nowMs).forEach(({ id }) => {
+            onTimeCount += nowMs <= objectives.get(id)! ? 1 : 0;
             queue.finish(id, nowMs).run.forEach((next) =>
-              ends.push({ id: next, atMs: nowMs + workMs })
+              endings.push({ id: next, atMs: nowMs + workMs })
             );
           });
           const arrivals = Math.floor((nowMs + 1) * perSecond / 1_000) -
             Math.floor(nowMs * perSecond / 1_000);
           Array.from({ length: arrivals }, (_, index) => {
             const id = nowMs * 10 + index;
-            due.set(id, nowMs + 300);
-            const verdict = queue.offer(
+            objectives.set(id, nowMs + 300);
+            const decision = queue.offer(
               request(id, {
                 objectiveAtMs: nowMs + 300,
                 deadlineAtMs: nowMs + 800,
               }),
               nowMs,
             );
-            if (verdict.kind === "run") {
-              ends.push({ id, atMs: nowMs + workMs });
+            if (decision.kind === "run") {
+              endings.push({ id, atMs: nowMs + workMs });
             }
           });
         });
-        return good;
+        return onTimeCount;
       };
-      expect(served(180)).to.be.at.least(0.95 * served(60));
+      expect(countOnTime(180)).to.be.at.least(0.95 * countOnTime(60));
     });
   });
 
-  describe("replaying a server that has turned five times slower", () => {
-    // Symptom: after all hosts have restarted, requests wait for a second and run until their deadlines, and
-    // nobody gets an answer in the first two seconds.
-    // Sequence: all keys are cold, so each request takes several times as long; estimates are those from
-    // before, and no request has ended since.
-    // Cause: what runs already for much longer than it should was not taken for a sign.
-    it("takes few requests that then miss their deadlines", () => {
+  describe("replaying a server that has become five times slower", () => {
+    // Guards against requests waiting for 1 s and then running into their deadlines, with no response in the first 2 s
+    // after a restart of all hosts: all keys are cold, so requests take several times as long, while the estimates
+    // date from before and ignored how long the running requests had already taken.
+    it("admits few requests that then miss their deadlines", () => {
       const slots = 12;
-      const usualMs = 210;
-      const slowMs = usualMs * 5;
-      const lengthMs = 1_000;
+      const typicalMs = 210;
+      const slowMs = typicalMs * 5;
+      const durationMs = 1_000;
       const deadlineMs = 1_200;
       const queue = WorkQueue.create();
       queue.setSlots(slots);
-      let taken = 0;
-      let refusedEarly = 0;
-      Array.from({ length: lengthMs }, (_, nowMs) => {
+      let admitted = 0;
+      let refusedCount = 0;
+      Array.from({ length: durationMs }, (_, nowMs) => {
         queue.advance(nowMs);
         if (nowMs % 20 !== 0) {
           return;
         }
-        const verdict = queue.offer(
+        const decision = queue.offer(
           request(nowMs, {
-            estimateMs: usualMs,
+            estimateMs: typicalMs,
             objectiveAtMs: nowMs + 600,
             deadlineAtMs: nowMs + deadlineMs,
           }),
           nowMs,
         );
-        taken += verdict.kind === "refuse" ? 0 : 1;
-        refusedEarly += verdict.kind === "refuse" ? 1 : 0;
+        admitted += decision.kind === "refuse" ? 0 : 1;
+        refusedCount += decision.kind === "refuse" ? 1 : 0;
       });
       expect(slowMs).to.be.below(deadlineMs);
-      expect(taken).to.be.below(3 * slots);
-      expect(refusedEarly).to.be.above(15);
+      expect(admitted).to.be.below(3 * slots);
+      expect(refusedCount).to.be.above(15);
     });
   });
 });
