--- a/packages/router/src/forwarder.ts
+++ b/packages/router/src/forwarder.ts
@@ -10,7 +10,12 @@
 import { steadyMs } from "./clock.ts";
 import { LinkClient, type LinkRequest } from "./link_client.ts";
 import type { LoadReport } from "./link_codec.ts";
-import { notRun, type Outcome, unknown, type Work } from "./work.ts";
+import {
+  notRun,
+  type Outcome,
+  type RoutedRequest,
+  unknown,
+} from "./routed_request.ts";
 
 /** A link on which nothing was sent for so long is closed, in milliseconds: most pairs of daemons rest. */
 const IDLE_MS = 20_000;
@@ -49,7 +54,7 @@
   }
 
   /** Sends a request to a daemon. It never throws. */
-  forward(work: Work, to: ForwardTarget): Promise<Outcome> {
+  forward(work: RoutedRequest, to: ForwardTarget): Promise<Outcome> {
     const { cancellation, mayGiveUp } = to;
     if (cancellation.isCancelled) {
       return Promise.resolve(notRun("cancelled"));
@@ -74,7 +79,7 @@
           this.context.onLoad(daemon, work.route, load);
           finish(outcome);
         },
-        onSilent: () => {
+        onUnresponsive: () => {
           if (mayGiveUp()) {
             lose(link.cancel(id));
           }
@@ -115,23 +120,25 @@
   ): void {
     const { daemon, nowMs } = at;
     if (link.isIdle) {
-      if (!link.isUsable || nowMs - link.lastUsedMs > IDLE_MS) {
+      if (!link.isUsable || nowMs - link.lastUsedAtMs > IDLE_MS) {
         this.links.delete(daemon);
         link.close();
       }
       return;
     }
     const silent = this.findSilent(link, nowMs);
-    if (silent.some(({ sentAtMs }) => link.lastHeardMs < sentAtMs)) {
+    if (silent.some(({ sentAtMs }) => link.lastReceivedAtMs < sentAtMs)) {
       // The connection may be dead while new ones work; what is under way on it stays there.
       this.links.delete(daemon);
       this.retired.push(link);
     }
-    silent.forEach(({ listener }) => listener.onSilent());
+    silent.forEach(({ listener }) => listener.onUnresponsive());
   }
 
   private giveUpSilent(link: LinkClient, nowMs: number): void {
-    this.findSilent(link, nowMs).forEach(({ listener }) => listener.onSilent());
+    this.findSilent(link, nowMs).forEach(({ listener }) =>
+      listener.onUnresponsive()
+    );
   }
 
   /** Requests that should have been acknowledged long ago. */
@@ -143,7 +150,7 @@
   }
 
   private noteUnreachable(
-    work: Work,
+    work: RoutedRequest,
     loss: { daemon: string; cause: BamboolinkError | undefined },
   ): void {
     const { daemon, cause } = loss;
--- a/packages/router/src/ingress.ts
+++ b/packages/router/src/ingress.ts
@@ -35,12 +35,16 @@
 import type {
   CallerProtocol,
   CallerRequest,
-  OwnOutcome,
-  OwnRejection,
+  RouterOutcome,
+  RouterRejection,
 } from "./ports/caller_protocol.ts";
 import type { LoopLag } from "./loop_lag.ts";
 import type { RequestRunner } from "./request_runner.ts";
-import type { Outcome, RefusalReason, Work } from "./work.ts";
+import type {
+  Outcome,
+  RefusalReason,
+  RoutedRequest,
+} from "./routed_request.ts";
 
 /** What the answer's way back to the caller takes, in milliseconds: the deadline is met there. */
 const WAY_BACK_MS = 8;
@@ -81,7 +85,7 @@
 }
 
 /** Work as its entrance sees it. */
-interface CallerWork extends Work {
+interface CallerWork extends RoutedRequest {
   /** Until when the request must start to meet its objective, as a rule. */
   readonly latestStartMs: number;
   /** When the caller gives up, whatever its route allows. */
@@ -165,7 +169,7 @@
     response: ServerResponse,
   ): Promise<void> {
     const { socket } = incoming;
-    if (this.connections.passesOver(incoming)) {
+    if (this.connections.discardAfterLastResponse(incoming)) {
       return;
     }
     let route: string | undefined;
@@ -190,7 +194,7 @@
     const { protocol, configuration, metrics, lag } = this.context;
     const arrivedMs = steadyMs() - lag.currentMs;
     response.sendDate = false;
-    await lag.catchUp({ isFirst: this.isFirst(incoming.socket) });
+    await lag.awaitPendingReads({ isFirst: this.isFirst(incoming.socket) });
     if (hasLeft(incoming)) {
       response.destroy();
       return undefined;
@@ -243,7 +247,7 @@
   /** Tells a caller that its request can't be served as it is. */
   private reject(
     response: ServerResponse,
-    outcome: OwnRejection,
+    outcome: RouterRejection,
     request?: Pick<CallerRequest, "id">,
   ): void {
     const { logger, metrics, configuration } = this.context;
@@ -260,11 +264,11 @@
     this.refuse(response, outcome, request);
   }
 
-  private noteUnreadable({ code, pendingAnswers }: UnreadableInput): void {
+  private noteUnreadable({ code, pendingResponses }: UnreadableInput): void {
     const { logger, metrics } = this.context;
     logger.log("caller_bytes_unreadable", {
       code,
-      pending_answers: pendingAnswers,
+      pending_answers: pendingResponses,
     });
     metrics.count("bamboolink_rejected_requests", { reason: "unreadable" });
   }
@@ -374,7 +378,7 @@
       latestStartMs: arrivedMs +
         (route.objectiveMs - waitedMs) * (1 - USUAL_SERVICE_SHARE),
       deadlineAtMs: arrivedMs + patienceMs,
-      lostRuns: 0,
+      brokenConnections: 0,
       mayEndLate: !this.order.isLikelyPipelined(incoming.socket, route.name),
       callerLeavesAtMs: arrivedMs + (request.deadlineMs ?? route.timeoutMs),
       method: incoming.method ?? "GET",
@@ -389,7 +393,7 @@
 
   /** Runs a request until it has an outcome, its deadline passes or its caller leaves. */
   private async runUntilDeadline(
-    work: Work,
+    work: RoutedRequest,
     response: ServerResponse,
     route: TrafficRoute,
   ): Promise<Ending> {
@@ -471,7 +475,7 @@
 
   /** Tells of an answer by which the backend server itself found the request wrong. */
   private noteUnusual(
-    work: Work,
+    work: RoutedRequest,
     end: {
       outcome: Extract<Outcome, { kind: "answer" }>;
       peer: string | undefined;
@@ -531,7 +535,7 @@
     if (!answer.isFramed) {
       // The caller must not take for whole what may have been cut: it ends with the connection here, too.
       const { socket } = response.req;
-      this.connections.announceEnd(socket);
+      this.connections.closeAfterNextResponse(socket);
       this.endings.set(socket, this.places.get(response) ?? 0);
       response.useChunkedEncodingByDefault = false;
       response.shouldKeepAlive = false;
@@ -549,7 +553,7 @@
 
   private refuse(
     response: ServerResponse,
-    outcome: OwnOutcome,
+    outcome: RouterOutcome,
     request?: Pick<CallerRequest, "id">,
   ): void {
     // A body that can't be read is answered with its connection.
@@ -575,7 +579,7 @@
     if (!this.isStopping || !this.order.isLast(socket, place)) {
       return {};
     }
-    this.connections.announceEnd(socket);
+    this.connections.closeAfterNextResponse(socket);
     return { connection: "close" };
   }
 }
--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -9,16 +9,16 @@
 export {
   CallerProtocol,
   type CallerRequest,
-  type OwnAnswer,
-  type OwnOutcome,
+  type RouterOutcome,
+  type RouterResponse,
 } from "./ports/caller_protocol.ts";
 export {
-  type AnswerVerdict,
   type BackendDeparture,
   type BackendHeartbeat,
-  type BackendNotice,
+  type BackendNotification,
   BackendProtocol,
-  type HandoverDetails,
+  type DispatchDetails,
+  type ResponseVerdict,
 } from "./ports/backend_protocol.ts";
 export { ConfigurationDocument } from "./ports/configuration_document.ts";
 export type { Incarnation } from "@bamboolink/keyspace";
--- a/packages/router/src/ownership_leader.ts
+++ b/packages/router/src/ownership_leader.ts
@@ -5,18 +5,18 @@
  * @module
  */
 import {
+  ArbiterState,
   assignUnowned,
   type Candidate,
   chooseArbiters,
   isFirstAssignmentDue,
   KEY_COUNT,
   type OwnershipRecord,
-  PromiseBook,
-  type PromiseQuestion,
-  TakeoverWaits,
+  type PromiseRequest,
+  TakeoverTimers,
 } from "@bamboolink/keyspace";
 import type { MemberView } from "@bamboolink/membership";
-import type { BackendKeeper } from "./backend_keeper.ts";
+import type { BackendManager } from "./backend_manager.ts";
 import { bootMs, steadyMs } from "./clock.ts";
 import type { OwnershipDirectory } from "./ownership_directory.ts";
 import type { RecordInspector } from "./record_inspector.ts";
@@ -33,13 +33,13 @@
   readonly directory: OwnershipDirectory;
   readonly inspector: RecordInspector;
   readonly writer: RecordWriter;
-  readonly keeper: () => BackendKeeper;
+  readonly backendManager: () => BackendManager;
 }
 
 /** The part of one daemon in deciding who owns what. */
 export class OwnershipLeader {
-  private readonly waits = new Map<string, TakeoverWaits>();
-  private readonly promises = new Map<string, PromiseBook>();
+  private readonly waits = new Map<string, TakeoverTimers>();
+  private readonly promises = new Map<string, ArbiterState>();
   private readonly startedAtMs = steadyMs();
   private readonly bootedAtMs = bootMs();
   private registration = Infinity;
@@ -52,25 +52,25 @@
   }
 
   /** Notes a revision of the store that was written by this process. */
-  noteRegistration(revision: number): void {
+  onRegistered(revision: number): void {
     this.registration = revision;
-    this.promises.forEach((book) => book.noteStart(revision));
+    this.promises.forEach((book) => book.recordStartRevision(revision));
   }
 
   /** Notes seals and appointments, from which waits are counted. */
-  noteRecord(service: string, record: OwnershipRecord): void {
-    const waits = this.waits.get(service) ?? TakeoverWaits.create();
+  onRecord(service: string, record: OwnershipRecord): void {
+    const waits = this.waits.get(service) ?? TakeoverTimers.create();
     this.waits.set(service, waits);
-    waits.note(record, bootMs());
+    waits.observe(record, bootMs());
     const promises = this.promises.get(service) ??
-      PromiseBook.create(this.bootedAtMs);
+      ArbiterState.create(this.bootedAtMs);
     this.promises.set(service, promises);
-    promises.noteStart(this.registration);
-    promises.note(record);
+    promises.recordStartRevision(this.registration);
+    promises.observe(record);
   }
 
   /** Whether an owner is promised not to be taken over. */
-  mayPromise(service: string, question: PromiseQuestion): boolean {
+  mayPromise(service: string, question: PromiseRequest): boolean {
     return this.promises.get(service)?.mayPromise(question, bootMs()) === true;
   }
 
@@ -119,12 +119,12 @@
 
   private leadService(service: string): void {
     const { inspector, writer } = this.context;
-    if (inspector.hasNoneInForce(service)) {
+    if (inspector.lacksRecordInForce(service)) {
       this.replaceRecord(service);
       return;
     }
     const known = this.context.directory.record(service);
-    if (known?.isRestored === true && inspector.isSettled(service)) {
+    if (known?.isRestored === true && inspector.canSettle(service)) {
       void writer.write(
         service,
         "settle",
@@ -144,12 +144,12 @@
   /** Puts a record in the place of one that can't be read, or is of a former era of the store. */
   private replaceRecord(service: string): void {
     const { inspector, writer } = this.context;
-    const former = inspector.findFormer(service);
+    const former = inspector.findRestorableRecord(service);
     if (former !== undefined) {
       void writer.restore(service, former);
       return;
     }
-    const spoiled = inspector.findSpoiled(service);
+    const spoiled = inspector.findRepairableRevision(service);
     if (spoiled !== undefined) {
       void writer.repair(service, spoiled);
     }
@@ -165,7 +165,7 @@
     const needy = [
       ...known.findUnowned(),
       ...this.findEnded(service, known).flatMap((seal) =>
-        known.rangesUnder(seal)
+        known.rangesWithSeal(seal)
       ),
     ];
     if (needy.length === 0) {
@@ -185,13 +185,13 @@
   private findEnded(service: string, known: OwnershipRecord): number[] {
     const nowMs = bootMs();
     const waits = this.waits.get(service);
-    const office = known.officeOf(this.own);
+    const office = known.findArbiter(this.own);
     if (office === undefined && !this.isLeading()) {
       return [];
     }
     return known.sealedOwners
       .map(({ seal }) => seal)
-      .filter((seal) => waits?.isOver(seal, nowMs, office) === true);
+      .filter((seal) => waits?.hasLeaseEnded(seal, nowMs, office) === true);
   }
 
   /** Names living daemons as arbiters, so that the keys of a lost host are free soon. */
@@ -234,10 +234,12 @@
       .filter((report) => report.service === service);
     const takers = this.allTakers(service);
     const isDue = isFirstAssignmentDue({
-      unheard: view.known.length - alive.length,
-      unannounced: members.filter(({ phase }) => phase === "absent").length,
-      takers: takers.length,
-      waitedMs: nowMs - this.startedAtMs,
+      unseenDaemons: view.known.length - alive.length,
+      unannouncedBackends: members.filter(({ phase }) =>
+        phase === "absent"
+      ).length,
+      candidates: takers.length,
+      uptimeMs: nowMs - this.startedAtMs,
     });
     if (!isDue) {
       return;
@@ -275,8 +277,8 @@
   }
 
   private allTakers(service: string): Candidate[] {
-    const { view, keeper } = this.context;
-    const own = keeper();
+    const { view, backendManager } = this.context;
+    const own = backendManager();
     const isTaker = own.service === service && own.phase === "ready";
     return [
       ...this.takers(service),
@@ -288,7 +290,7 @@
 
   /** Other backend servers of a service that take keys. */
   private takers(service: string): Candidate[] {
-    return findTakers(this.context.view, service);
+    return findCandidates(this.context.view, service);
   }
 
   private get own(): string {
@@ -297,7 +299,7 @@
 }
 
 /** The backend servers of a service that take keys, without the own one. */
-export function findTakers(view: MemberView, service: string): Candidate[] {
+export function findCandidates(view: MemberView, service: string): Candidate[] {
   return view.alive(steadyMs())
     .filter((report) => report.service === service && report.phase === "ready")
     .map(({ address, slots }) => ({ daemon: address, weight: slots }));
--- a/packages/router/src/answer_sender_test.ts
+++ b/packages/router/src/response_sender_test.ts
@@ -5,12 +5,12 @@
  */
 import { type AddressInfo, connect, createServer } from "node:net";
 import { expect } from "chai";
-import { AnswerSender } from "./answer_sender.ts";
+import { ResponseSender } from "./response_sender.ts";
 import { FrameSocket } from "./frame_socket.ts";
 import { LinkClient } from "./link_client.ts";
 import { encodeFrame, type Frame, FRAME_KINDS } from "./link_codec.ts";
-import { WORK } from "./testing/work.ts";
-import { notRun, type Outcome } from "./work.ts";
+import { SAMPLE_REQUEST } from "./testing/sample_request.ts";
+import { notRun, type Outcome } from "./routed_request.ts";
 
 const LOAD = { waitMs: 0, utilization: 0, serviceMs: 1, failureShare: 0 };
 /** Slow enough that a large answer takes several turns. */
@@ -26,7 +26,7 @@
 /** Sends outcomes back to the requests of one link, in the order of the requests; returns them as they come. */
 async function exchange(outcomes: readonly Outcome[]): Promise<Outcome[]> {
   const nowMs = () => performance.now();
-  const sender = AnswerSender.create(LINK_BYTES_PER_SECOND, nowMs);
+  const sender = ResponseSender.create(LINK_BYTES_PER_SECOND, nowMs);
   const server = createServer((socket) => {
     const frames = FrameSocket.create(socket, "peer", {
       onFrame: ({ kind, id }: Frame) => {
@@ -45,13 +45,13 @@
   await Promise.all(
     outcomes.map(() =>
       new Promise<void>((resolve, reject) =>
-        link.send(WORK, {
+        link.send(SAMPLE_REQUEST, {
           onAcknowledged: () => undefined,
           onOutcome: (outcome) => {
             come.push(outcome);
             resolve();
           },
-          onSilent: () => undefined,
+          onUnresponsive: () => undefined,
           onLost: (_isSent, cause) => reject(cause),
         })
       )
@@ -82,7 +82,7 @@
 
   describe("when nobody waits for a large answer any more", () => {
     it("sends no more of it", async () => {
-      const sender = AnswerSender.create(1_000, () => 0);
+      const sender = ResponseSender.create(1_000, () => 0);
       const server = createServer();
       await new Promise<void>((resolve) =>
         server.listen(0, "127.0.0.1", resolve)
