--- a/packages/admission/src/link_pacer.ts
+++ b/packages/admission/src/link_pacer.ts
@@ -5,12 +5,12 @@
  * produce. Data written faster than the link carries it waits in the link's buffers and delays every small response,
  * acknowledgement and heartbeat behind it: within five seconds, 96 of 2,086 requests to such hosts ended at their
  * deadline, and peers considered the hosts unresponsive 71 times. Therefore small messages are written at once, and
- * large responses wait here, in pieces, until the link is free.
+ * large responses wait here, in chunks, until the link is free.
  *
  * @module
  */
 
-/** How far ahead of the link pieces are written, in milliseconds; keeps the link busy between two timers. */
+/** How far ahead of the link chunks are written, in milliseconds; keeps the link busy between two timers. */
 const WRITE_AHEAD_MS = 10;
 
 /** A large response that waits for the link. */
@@ -72,7 +72,7 @@
   }
 
   /**
-   * Returns the response whose next piece may be written now, if there is one. Responses that can still be sent on time
+   * Returns the response whose next chunk may be written now, if there is one. Responses that can still be sent on time
    * go before those that can't: in the order of their objectives alone, all of them would be late as soon as the link is
    * overloaded (replayed in the test).
    */
@@ -84,7 +84,7 @@
       this.waiting[0];
   }
 
-  /** Delay until the next piece may be written, in milliseconds. */
+  /** Delay until the next chunk may be written, in milliseconds. */
   delayMs(nowMs: number): number {
     return Math.max(0, this.linkFreeAtMs - nowMs - WRITE_AHEAD_MS);
   }
--- a/packages/admission/src/link_pacer_test.ts
+++ b/packages/admission/src/link_pacer_test.ts
@@ -8,7 +8,7 @@
 
 /** A link of 10.5 Mbit/s. */
 const BYTES_PER_SECOND = 1_312_500;
-const PIECE_BYTES = 32_768;
+const CHUNK_BYTES = 32_768;
 const RESPONSE_BYTES = 94_500;
 
 interface Sent {
@@ -32,7 +32,7 @@
       pacer.add({ objectiveAtMs: nowMs + 700, remainingBytes: RESPONSE_BYTES });
     }
     for (let next = pacer.next(nowMs); next; next = pacer.next(nowMs)) {
-      const bytes = Math.min(PIECE_BYTES, next.remainingBytes);
+      const bytes = Math.min(CHUNK_BYTES, next.remainingBytes);
       next.remainingBytes -= bytes;
       pacer.recordWritten(bytes, nowMs);
       linkFreeAtMs = Math.max(linkFreeAtMs, nowMs) +
@@ -52,7 +52,7 @@
   describe("when more large responses are produced than the link carries", () => {
     // Guards against small calls to a host running into their deadlines, and the host seeming unresponsive: with 20
     // responses of 94 kB per second on a link that carries 14, the link's buffers delay everything that is written later.
-    it("delays small messages by one piece at most", () => {
+    it("delays small messages by one chunk at most", () => {
       expect(simulate(20, false).maxWaitMs).to.be.above(400);
       expect(simulate(20, true).maxWaitMs).to.be.below(40);
     });
--- a/packages/placement/src/choose_backend.ts
+++ b/packages/placement/src/choose_backend.ts
@@ -4,87 +4,92 @@
  * @module
  */
 
-/** What is known of one backend server that could run the request. */
+/** State of one backend server that could run the request. */
 export interface PlacementCandidate {
-  /** Names the daemon beside the backend server. */
+  /** Address of the daemon beside the backend server. */
   readonly daemon: string;
-  /** Whether it is beside the deciding daemon. */
+  /** Whether it runs on the host of the daemon that chooses. */
   readonly isLocal: boolean;
   readonly isSameZone: boolean;
   readonly slots: number;
-  /** Until a request would have started there when it reported, in milliseconds. */
+  /** Wait for a slot at the time of the report, in milliseconds. */
   readonly waitMs: number;
-  /** Work offered for each of its slots, as a mean of the last second; 1 keeps all busy. */
+  /** Offered work per slot, averaged over the last second; at 1 all slots are busy. */
   readonly utilization: number;
-  /** Usual time of a request of this route there, in milliseconds; 0 where nothing is known. */
+  /** Typical service time of this route there, in milliseconds; 0 if unknown. */
   readonly serviceMs: number;
-  /** Usual time of a request there over all routes, in milliseconds; 0 where nothing is known. */
+  /** Typical service time there over all routes, in milliseconds; 0 if unknown. */
   readonly meanServiceMs: number;
-  /** Bytes that a request of this route and its answer take on the way, as a rule. */
+  /** Typical size of a request of this route and its response together, in bytes. */
   readonly transferBytes: number;
-  /** Share of its recent requests that it failed. */
+  /** Share of its recent requests that failed. */
   readonly failureShare: number;
   /** Age of the report, in milliseconds. */
   readonly reportAgeMs: number;
-  /** Requests sent there by the deciding daemon since that report. */
+  /** Number of requests that the choosing daemon has sent there since that report. */
   readonly sentSinceReport: number;
 }
 
-/** What the way to another availability zone and back takes, in milliseconds. */
-const OTHER_ZONE_MS = 6;
+/** Round-trip time to another availability zone, in milliseconds. */
+const OTHER_ZONE_ROUND_TRIP_MS = 6;
 /**
- * What leaving the zone costs in the score, in milliseconds, whatever the size: the own zone is kept to where it
- * is as good. Small beside latency objectives of some 100 ms.
+ * Fixed penalty for another availability zone in the score, in milliseconds, so that requests stay in their zone where
+ * it is as good. Small compared with latency objectives of some 100 ms.
  */
-const LEAVING_ZONE_MS = 20;
+const CROSS_ZONE_PENALTY_MS = 20;
 /**
- * What a kilobyte between availability zones costs in the score, in milliseconds. Bytes between zones are paid
- * for: a small answer may go anywhere, a download of 90 KB stays in its zone unless it would wait there
- * for 180 ms more.
+ * Penalty per kilobyte transferred between availability zones in the score, in milliseconds. Traffic between zones is
+ * billed: a small response may come from anywhere, while a download of 90 KB stays in its zone unless it would wait
+ * there for 180 ms longer.
  */
-const OTHER_ZONE_MS_PER_KILOBYTE = 2;
+const CROSS_ZONE_MS_PER_KILOBYTE = 2;
 /**
- * What the way to another daemon in the own zone costs, in milliseconds: a millisecond of processor time
- * at each of the two.
+ * Cost of forwarding to another daemon in the same zone, in milliseconds; includes 1 ms of CPU time at each of the two
+ * daemons.
  */
-const OTHER_DAEMON_MS = 4;
-/** Jitter that keeps daemons with the same stale reports from picking the same server. */
-const SCORE_NOISE = 0.15;
+const OTHER_DAEMON_OVERHEAD_MS = 4;
+/** Relative jitter of the scores, so that daemons with the same stale reports don't all choose the same server. */
+const SCORE_JITTER = 0.15;
 /**
- * A failing server is charged its time this many times over for each failure beyond those of the best, so
- * that it gets a trickle that shows when it is well again. Where all fail alike, as when the calls that
- * they make are refused elsewhere, none is the worse choice for it.
+ * Multiple of the service time that is added to the cost of a server, in proportion to its failure share beyond that of
+ * the best server. A failing server still gets a few requests, which show when it has recovered. Where all servers fail
+ * alike, for example because calls that they make are refused elsewhere, none of them is penalized.
  */
 const FAILURE_WEIGHT = 8;
 /**
- * How long a reported wait is believed, as a half-life in milliseconds. Then the usual wait at the server's
- * utilization takes its place: after a moment without a queue all daemons would send to a server that is
- * full on average, and it would have the longest queue of all a tenth of a second later.
+ * Half-life of the weight of a reported wait, in milliseconds. With age, the typical wait at the server's utilization
+ * replaces it. Otherwise, after a moment without a queue, all daemons would send to a server that is full on average,
+ * and 0.1 s later it would have the longest queue of all.
  */
-const WAIT_HALF_LIFE_MS = 150;
-/** Utilization from which on the usual wait is no longer told apart: there it grows without bound. */
-const LARGEST_UTILIZATION = 0.97;
+const REPORTED_WAIT_HALF_LIFE_MS = 150;
+/** Upper limit of the utilization in the estimate of the wait, which grows without bound towards 1. */
+const MAX_UTILIZATION = 0.97;
 /**
- * A server that has served nothing yet is taken for this much faster than the fastest other: it gets
- * requests soon after it has joined, and with them a time of its own.
+ * Service time assumed for a server that has served no requests yet, as a share of that of the fastest other server.
+ * It is sent requests soon after it has joined, and so gets a measured service time.
  */
-const UNKNOWN_SPEEDUP = 0.7;
-/** Service time where nobody has served anything yet, in milliseconds. */
-const UNKNOWN_SERVICE_MS = 50;
+const NEW_SERVER_TIME_FACTOR = 0.7;
+/** Service time assumed where no server has served a request yet, in milliseconds. */
+const DEFAULT_SERVICE_MS = 50;
 
-/** Chooses the candidate with the lowest cost; `undefined` where there is none. */
+/**
+ * Chooses the candidate with the lowest cost.
+ *
+ * @param random returns numbers from 0 up to 1.
+ * @returns `undefined` where there is no candidate.
+ */
 export function chooseBackend(
   candidates: readonly PlacementCandidate[],
   random: () => number,
 ): PlacementCandidate | undefined {
-  const usualFailureShare = Math.min(
+  const minFailureShare = Math.min(
     ...candidates.map(({ failureShare }) => failureShare),
   );
   return withServiceTimes(candidates)
     .map((candidate) => ({
       candidate,
-      score: costMs(candidate, usualFailureShare) *
-        (1 + SCORE_NOISE * random()),
+      score: costMs(candidate, minFailureShare) *
+        (1 + SCORE_JITTER * random()),
     }))
     .reduce<{ candidate: PlacementCandidate; score: number } | undefined>(
       (best, scored) =>
@@ -100,55 +105,54 @@
     .map(({ serviceMs }) => serviceMs)
     .filter((serviceMs) => serviceMs > 0);
   const fallback = known.length === 0
-    ? UNKNOWN_SERVICE_MS
-    : Math.min(...known) * UNKNOWN_SPEEDUP;
+    ? DEFAULT_SERVICE_MS
+    : Math.min(...known) * NEW_SERVER_TIME_FACTOR;
   return candidates.map((candidate) => ({
     ...candidate,
     serviceMs: candidate.serviceMs || fallback,
   }));
 }
 
-/** The time a request is expected to take at a candidate, from here and back, in milliseconds. */
+/** Expected latency of a request at a candidate, including wait and network, in milliseconds. */
 export function expectedLatencyMs(candidate: PlacementCandidate): number {
   const { serviceMs, reportAgeMs } = candidate;
   const slots = Math.max(1, candidate.slots);
-  const freshness = 0.5 ** (reportAgeMs / WAIT_HALF_LIFE_MS);
+  const freshness = 0.5 ** (reportAgeMs / REPORTED_WAIT_HALF_LIFE_MS);
   const waitMs = candidate.waitMs * freshness +
-    usualWaitMs(candidate) * (1 - freshness);
-  const addedMs = candidate.sentSinceReport * serviceMs / slots;
-  return serviceMs + waitMs + addedMs + wayMs(candidate);
+    typicalWaitMs(candidate) * (1 - freshness);
+  const unreportedMs = candidate.sentSinceReport * serviceMs / slots;
+  return serviceMs + waitMs + unreportedMs + networkMs(candidate);
 }
 
 /**
- * The mean wait in front of several slots at a utilization, in milliseconds (Sakasegawa's approximation for
- * arrivals and service times that vary as exponential ones do).
+ * Mean wait for one of several slots at a given utilization, in milliseconds (Sakasegawa's approximation, for
+ * exponentially distributed interarrival and service times).
  */
-function usualWaitMs(candidate: PlacementCandidate): number {
+function typicalWaitMs(candidate: PlacementCandidate): number {
   const slots = Math.max(1, candidate.slots);
-  const busy = Math.min(LARGEST_UTILIZATION, candidate.utilization);
+  const busy = Math.min(MAX_UTILIZATION, candidate.utilization);
   const exponent = Math.sqrt(2 * (slots + 1)) - 1;
-  // A short call waits for the slots of long requests.
+  // A short call waits for slots that long requests hold, so the mean over all routes counts.
   const meanMs = candidate.meanServiceMs || candidate.serviceMs;
   return meanMs * busy ** exponent / (slots * (1 - busy));
 }
 
-/** The expected time with what else speaks against a candidate, in milliseconds. */
+/** Expected latency plus the penalties for other zones and for failures, in milliseconds. */
 function costMs(
   candidate: PlacementCandidate,
-  usualFailureShare: number,
+  minFailureShare: number,
 ): number {
   const { serviceMs, failureShare, isSameZone, transferBytes } = candidate;
-  const zoneMs = isSameZone
-    ? 0
-    : LEAVING_ZONE_MS + transferBytes / 1_000 * OTHER_ZONE_MS_PER_KILOBYTE;
-  const failureMs = (failureShare - usualFailureShare) * FAILURE_WEIGHT *
+  const zoneMs = isSameZone ? 0 : CROSS_ZONE_PENALTY_MS +
+    transferBytes / 1_000 * CROSS_ZONE_MS_PER_KILOBYTE;
+  const failureMs = (failureShare - minFailureShare) * FAILURE_WEIGHT *
     serviceMs;
   return expectedLatencyMs(candidate) + zoneMs + failureMs;
 }
 
-function wayMs({ isLocal, isSameZone }: PlacementCandidate): number {
+function networkMs({ isLocal, isSameZone }: PlacementCandidate): number {
   if (isLocal) {
     return 0;
   }
-  return isSameZone ? OTHER_DAEMON_MS : OTHER_ZONE_MS;
+  return isSameZone ? OTHER_DAEMON_OVERHEAD_MS : OTHER_ZONE_ROUND_TRIP_MS;
 }
--- a/packages/placement/src/choose_backend_test.ts
+++ b/packages/placement/src/choose_backend_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of choosing a backend server, and a replay of stale reports.
+ * Tests of choosing a backend server, also with stale reports.
  *
  * @module
  */
@@ -40,9 +40,9 @@
   return counts;
 }
 
-describe("choosing a backend server", () => {
-  describe("when one has no room", () => {
-    it("sends to the other", () => {
+describe("chooseBackend", () => {
+  describe("when one server has no free slot", () => {
+    it("chooses the other", () => {
       const counts = countChoices([
         candidate({ daemon: "full", waitMs: 400 }),
         candidate({ daemon: "free" }),
@@ -51,7 +51,7 @@
     });
   });
 
-  describe("when a slower one in the own zone is as good as one far away", () => {
+  describe("when a server in the same zone is nearly as good as one in another zone", () => {
     it("stays in the zone", () => {
       const counts = countChoices([
         candidate({ daemon: "near", serviceMs: 90 }),
@@ -61,10 +61,9 @@
     });
   });
 
-  describe("when one has joined and served nothing yet", () => {
-    // Symptom: a backend server that joined gets no request.
-    // Sequence: it has no service time of its own; the others have theirs.
-    // Cause: it was taken for slower than all others.
+  describe("when a server has joined and served no requests yet", () => {
+    // Guards against a new server getting no requests: it has no service time of its own, and was assumed to be slower
+    // than all the others.
     it("sends it requests", () => {
       const counts = countChoices([
         candidate({ daemon: "old", serviceMs: 40 }),
@@ -75,7 +74,7 @@
   });
 
   describe("when all reports are stale", () => {
-    it("does not send everything to the one that looked best", () => {
+    it("does not send all requests to the server that seemed best", () => {
       const counts = countChoices([
         candidate({ daemon: "one", serviceMs: 90 }),
         candidate({ daemon: "two", serviceMs: 92 }),
@@ -85,12 +84,10 @@
     });
   });
 
-  describe("when one that is full on average has no queue in an old report", () => {
-    // Symptom: of four backend servers two are full and make requests wait, while one has a fifth of its slots
-    // in use.
-    // Sequence: the faster ones report a moment without a queue; all daemons send to them until they hear more.
-    // Cause: a report was believed in full until the next one came.
-    it("sends to the one with room", () => {
+  describe("when a server that is full on average has no queue in an old report", () => {
+    // Guards against two of four servers being full while another uses a fifth of its slots: the faster ones report a
+    // moment without a queue, and all daemons relied on that report in full until the next one.
+    it("chooses the server with free slots", () => {
       const counts = countChoices([
         candidate({
           daemon: "full",
@@ -99,7 +96,7 @@
           reportAgeMs: 400,
         }),
         candidate({
-          daemon: "room",
+          daemon: "free",
           serviceMs: 90,
           utilization: 0.2,
           reportAgeMs: 400,
@@ -109,8 +106,8 @@
     });
   });
 
-  describe("when long requests fill the slots of the faster one", () => {
-    it("sends short calls to the slower one with room", () => {
+  describe("when long requests fill the slots of the faster server", () => {
+    it("sends short calls to the slower server with free slots", () => {
       const short = { serviceMs: 40, meanServiceMs: 200, reportAgeMs: 400 };
       const counts = countChoices([
         candidate({ ...short, daemon: "fast", utilization: 0.95 }),
@@ -125,8 +122,8 @@
     });
   });
 
-  describe("when one fails its requests fast", () => {
-    it("sends it a trickle at most", () => {
+  describe("when a server fails its requests fast", () => {
+    it("sends it few requests", () => {
       const counts = countChoices([
         candidate({ daemon: "failing", serviceMs: 20, failureShare: 0.9 }),
         candidate({ daemon: "well", serviceMs: 90 }),
@@ -135,12 +132,11 @@
     });
   });
 
-  describe("when calls that all of them make fail elsewhere", () => {
-    // Symptom: orders are refused as overloaded while one backend server of theirs has nothing to do.
-    // Sequence: calls that orders make fail at another service; each such order counts as failed; one server
-    // happened to run more of them than the two others, which are full.
-    // Cause: failures that all servers have were held in full against the one with more of them.
-    it("goes on using the one that failed most, rather than wait at the others", () => {
+  describe("when calls that all servers make fail at another service", () => {
+    // Guards against orders being refused as overloaded while one of their servers is idle: orders whose calls fail
+    // count as failed, one server ran more of them than the two others, which are full, and failures that all servers
+    // have counted in full against it.
+    it("keeps using the server that failed most, rather than wait at the others", () => {
       const counts = countChoices([
         candidate({ daemon: "failed", serviceMs: 120, failureShare: 0.51 }),
         ...["two", "three"].map((daemon) =>
@@ -151,7 +147,7 @@
     });
   });
 
-  describe("when answers are large", () => {
+  describe("when responses are large", () => {
     it("stays in the zone even where that is slower", () => {
       const counts = countChoices([
         candidate({ daemon: "near", serviceMs: 300, transferBytes: 90_000 }),
@@ -165,7 +161,7 @@
       expect(counts.get("near") ?? 0).to.be.above(900);
     });
 
-    it("leaves the zone rather than wait there for long", () => {
+    it("leaves the zone rather than wait long there", () => {
       const counts = countChoices([
         candidate({ daemon: "near", waitMs: 400, transferBytes: 90_000 }),
         candidate({
@@ -178,8 +174,8 @@
     });
   });
 
-  describe("when there is none", () => {
-    it("chooses none", () => {
+  describe("when there is no candidate", () => {
+    it("returns undefined", () => {
       expect(chooseBackend([], () => 0)).to.equal(undefined);
     });
   });
--- a/packages/placement/src/route_service_times_test.ts
+++ b/packages/placement/src/route_service_times_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of learned service times, and a replay of the mix of short and long requests that they are made for.
+ * Tests of the estimated service times, with a replay of a mix of short and long requests.
  *
  * @module
  */
@@ -9,22 +9,22 @@
 
 const SLOTS = 4;
 
-/** Times of both routes at three backend servers; the first is the slowest by a little. */
+/** Service times of both routes at three backend servers; the first is slightly slower than the others. */
 const SERVICE_MS: Readonly<Record<string, Record<string, number>>> = {
   one: { call: 60, upload: 320 },
   two: { call: 50, upload: 300 },
   three: { call: 55, upload: 310 },
 };
 
-describe("route times", () => {
-  describe("of a backend server that has run the route", () => {
-    it("are what its daemon says", () => {
+describe("RouteServiceTimes", () => {
+  describe("for a backend server that has run the route", () => {
+    it("returns the time that its daemon reported", () => {
       const times = RouteServiceTimes.create();
       times.record("one", "upload", { serviceMs: 300, reportedAtMs: 0 });
       expect(times.estimateMs("one", "upload", 100)).to.equal(300);
     });
 
-    it("are forgiven when nothing was heard of them for long", () => {
+    it("approaches the average when there was no report for long", () => {
       const times = RouteServiceTimes.create();
       times.record("one", "upload", { serviceMs: 900, reportedAtMs: 0 });
       times.record("two", "upload", { serviceMs: 300, reportedAtMs: 0 });
@@ -33,8 +33,8 @@
     });
   });
 
-  describe("of a backend server that has run other routes only", () => {
-    it("follow from its speed at these", () => {
+  describe("for a backend server that has run only other routes", () => {
+    it("derives the time from its speed on these", () => {
       const times = RouteServiceTimes.create();
       times.record("one", "call", { serviceMs: 100, reportedAtMs: 0 });
       times.record("two", "call", { serviceMs: 50, reportedAtMs: 0 });
@@ -42,17 +42,15 @@
       expect(times.estimateMs("one", "upload", 0)).to.be.closeTo(400, 1);
     });
 
-    it("are unknown before it has run anything", () => {
+    it("returns 0 before it has run anything", () => {
       expect(RouteServiceTimes.create().estimateMs("one", "upload", 0)).to
         .equal(0);
     });
   });
 
   describe("replaying short calls beside long requests", () => {
-    // Symptom: one backend server of three is full and makes requests wait, the others are idle.
-    // Sequence: the first calls go to one of them by chance; its average over all requests falls, those
-    // of the others rise with the long requests that are left for them.
-    // Cause: servers were compared by averages over different requests.
+    // Guards against one server of three being full while the others are idle: servers were compared by averages over
+    // different requests, which fell at the one that ran the first calls by chance and rose where long requests ran.
     it("gives no backend server much more work than the others", () => {
       const times = RouteServiceTimes.create();
       Object.entries(SERVICE_MS).forEach(([backend, routes]) =>
@@ -60,7 +58,7 @@
           times.record(backend, route, { serviceMs, reportedAtMs: 0 })
         )
       );
-      const busyUntilMs = new Map(
+      const runningEndsMs = new Map(
         Object.keys(SERVICE_MS).map((backend) => [backend, [] as number[]]),
       );
       const workMs = new Map<string, number>();
@@ -72,9 +70,9 @@
       Array.from({ length: 2_000 }, (_, index) => {
         const nowMs = index * 10;
         const route = index % 4 === 0 ? "upload" : "call";
-        const candidates = [...busyUntilMs].map(([daemon, ends]) => {
-          const running = ends.filter((end) => end > nowMs);
-          busyUntilMs.set(daemon, running);
+        const candidates = [...runningEndsMs].map(([daemon, endsAtMs]) => {
+          const running = endsAtMs.filter((endAtMs) => endAtMs > nowMs);
+          runningEndsMs.set(daemon, running);
           const isFull = running.length >= SLOTS;
           return {
             daemon,
@@ -92,13 +90,13 @@
           };
         });
         const { daemon } = chooseBackend(candidates, random)!;
-        const took = SERVICE_MS[daemon]![route]!;
-        busyUntilMs.get(daemon)!.push(nowMs + took);
-        workMs.set(daemon, (workMs.get(daemon) ?? 0) + took);
+        const serviceMs = SERVICE_MS[daemon]![route]!;
+        runningEndsMs.get(daemon)!.push(nowMs + serviceMs);
+        workMs.set(daemon, (workMs.get(daemon) ?? 0) + serviceMs);
       });
-      const loads = [...workMs.values()];
-      const mean = loads.reduce((sum, load) => sum + load, 0) / 3;
-      expect(Math.max(...loads) / mean).to.be.below(1.6);
+      const loadsMs = [...workMs.values()];
+      const meanMs = loadsMs.reduce((sum, loadMs) => sum + loadMs, 0) / 3;
+      expect(Math.max(...loadsMs) / meanMs).to.be.below(1.6);
     });
   });
 });
--- a/packages/placement/src/sample_backends.ts
+++ b/packages/placement/src/sample_backends.ts
@@ -1,26 +1,28 @@
 /**
- * Draws the backend servers that are looked at for one request.
+ * Draws a random sample of backend servers to compare for one request.
  *
  * @module
  */
 
-/** Up to so many backend servers are all looked at; of more, so many random ones. */
-const LOOKED_AT = 5;
+/** Number of backend servers to compare; up to this number, all of them are compared. */
+const SAMPLE_SIZE = 5;
 
 /**
- * Draws a few backend servers at random, one of them near if there is one: to look at all for each
- * request would cost a large fleet more than the better choice brings. One may be drawn twice.
+ * Draws a few backend servers at random, including a near one if there is one. In a large fleet, comparing all servers
+ * for each request would cost more than the better choice saves.
+ *
+ * @returns the sample, which may contain a server twice.
  */
 export function sampleBackends<T>(
   backends: readonly T[],
   choice: { isNear: (backend: T) => boolean; random: () => number },
 ): readonly T[] {
-  if (backends.length <= LOOKED_AT) {
+  if (backends.length <= SAMPLE_SIZE) {
     return backends;
   }
   const { isNear, random } = choice;
   const draw = (from: readonly T[]) => from[Math.floor(random() * from.length)];
   const near = draw(backends.filter(isNear));
-  const drawn = Array.from({ length: LOOKED_AT - 1 }, () => draw(backends)!);
+  const drawn = Array.from({ length: SAMPLE_SIZE - 1 }, () => draw(backends)!);
   return near === undefined ? drawn : [near, ...drawn];
 }
--- a/packages/placement/src/server_fault.ts
+++ b/packages/placement/src/server_fault.ts
@@ -1,22 +1,22 @@
 /**
- * Decides whether a failure that a backend server answered is its own.
+ * Decides whether a failed response is the fault of the backend server that sent it.
  *
- * Guards against requests being run twice while a service that they call rejects its requests: every server fails alike
- * then, the second run fails as the first did, and its calls add to the load that they fail under.
+ * Prevents pointless retries while a service that the backend servers call rejects requests: all servers fail alike
+ * then, a retry fails as the first attempt did, and its calls add to the overload that makes them fail.
  *
  * @module
  */
 
-/** Up to this share of failures among the other servers, a failure is taken for chance, as every service has some. */
-const CHANCE_SHARE = 0.05;
-/** A server that fails so many times as often as the others is at fault itself. */
-const OWN_FACTOR = 2;
+/** Failure share of the other servers up to which their failures count as random, as every service has some. */
+const MAX_RANDOM_FAILURE_SHARE = 0.05;
+/** A server that fails at least this many times as often as the others is at fault itself. */
+const FAULT_FACTOR = 2;
 
 /**
- * Whether another server may be expected to do better.
+ * Whether a failure is the fault of the server, so that a retry at another one may succeed.
  *
- * @param failureShare share of its recent requests that the server failed.
- * @param others the same of the other servers of its service.
+ * @param failureShare share of the server's recent requests that failed.
+ * @param others the failure shares of the other servers of its service.
  */
 export function isServerFault(
   failureShare: number,
@@ -25,6 +25,8 @@
   if (others.length === 0) {
     return false;
   }
-  const mean = others.reduce((sum, share) => sum + share, 0) / others.length;
-  return mean <= CHANCE_SHARE || failureShare >= mean * OWN_FACTOR;
+  const meanShare = others.reduce((sum, share) => sum + share, 0) /
+    others.length;
+  return meanShare <= MAX_RANDOM_FAILURE_SHARE ||
+    failureShare >= meanShare * FAULT_FACTOR;
 }
