--- a/packages/admission/src/idempotency_ledger.ts
+++ b/packages/admission/src/idempotency_ledger.ts
@@ -1,22 +1,22 @@
 /**
- * Remembers recent non-idempotent requests, so that a caller's resend does not run again.
+ * Keeps recent non-idempotent requests, so that a caller's retry does not run again.
  *
- * What goes wrong without it: an order's answer is lost, the buyer sends the order again, two lots are
- * reserved. It shows as two runs under one idempotency key. The ledger answers a resend with the first
- * answer, and with *unknown* whatever it can't remember: a request first sent before this owner's
- * tenure may have run at the owner before, and one older than the ledger's memory may have run here.
+ * Without it, a request may run twice under one idempotency key: the response to an order is lost, the buyer sends the
+ * order again, and two lots are reserved. The ledger returns the first response to a retry, and *unknown* for requests
+ * that it can't have a record of: a request first sent before this owner's ownership lease may have run at the previous
+ * owner, and one older than the retention period may have run here.
  *
  * @module
  */
 
-/** An answer that is kept for resends. */
+/** A response that is kept for retries. */
 export interface StoredAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Uint8Array;
 }
 
-/** What a request with an idempotency key may do. */
+/** Whether a request with an idempotency key may run, or why not. */
 export type AttemptClaim =
   | { readonly kind: "run" }
   | { readonly kind: "running" }
@@ -27,28 +27,28 @@
   }
   | { readonly kind: "different" };
 
-interface Entry {
+interface LedgerEntry {
   readonly fingerprint: string;
   readonly claimedAtMs: number;
   state: "running" | "answered" | "unknown";
   answer: StoredAnswer | undefined;
 }
 
-/** Bounds of a ledger. */
+/** Limits of a ledger. */
 export interface IdempotencyLimits {
-  /** How long a request is remembered, in milliseconds. */
+  /** Retention period of a request, in milliseconds. */
   readonly memoryMs: number;
-  /** The most requests that are remembered. */
+  /** Maximum number of requests that are kept. */
   readonly entries: number;
-  /** The most by which the wall clocks of callers and hosts may differ, in milliseconds. */
+  /** Maximum difference between the wall clocks of callers and hosts, in milliseconds. */
   readonly clockSkewMs: number;
 }
 
-/** Remembers the requests of one owner. */
+/** The recent non-idempotent requests of one owner. */
 export class IdempotencyLedger {
-  private readonly entries = new Map<string, Entry>();
-  /** Requests first sent before this wall-clock time may have been forgotten. */
-  private remembersSinceMs = -Infinity;
+  private readonly entries = new Map<string, LedgerEntry>();
+  /** Requests first sent up to this wall-clock time may have been evicted. */
+  private evictedUpToMs = -Infinity;
 
   private constructor(private readonly limits: IdempotencyLimits) {}
 
@@ -57,16 +57,16 @@
     return new IdempotencyLedger(limits);
   }
 
-  /** How many requests are remembered. */
+  /** Number of requests that are kept. */
   get size(): number {
     return this.entries.size;
   }
 
   /**
-   * Claims the right to run.
+   * Claims the right to run a request.
    *
-   * @param request `fingerprint` tells one request from another that wrongly bears the same key;
-   *   `firstAttempt` is the caller's word that it has not sent this request before.
+   * @param request `fingerprint` distinguishes a different request that wrongly uses the same key; `firstAttempt` states
+   *   that the caller has not sent this request before.
    * @param at wall-clock times in milliseconds: now, and since when this owner owns the partition.
    */
   claim(
@@ -78,12 +78,12 @@
     },
     at: { nowMs: number; tenureSinceMs: number },
   ): AttemptClaim {
-    this.forgetOld(at.nowMs);
+    this.evictOld(at.nowMs);
     const known = this.entries.get(request.name);
     if (known !== undefined) {
-      return claimAgain(known, request.fingerprint);
+      return claimForRetry(known, request.fingerprint);
     }
-    if (request.firstSentMs <= this.remembersSinceMs) {
+    if (request.firstSentMs <= this.evictedUpToMs) {
       return { kind: "unknown", reason: "before_memory" };
     }
     if (
@@ -92,7 +92,7 @@
     ) {
       return { kind: "unknown", reason: "before_tenure" };
     }
-    const entry: Entry = {
+    const entry: LedgerEntry = {
       fingerprint: request.fingerprint,
       claimedAtMs: at.nowMs,
       state: "running",
@@ -102,7 +102,7 @@
     return { kind: "run" };
   }
 
-  /** Keeps the answer of a request that ran. */
+  /** Stores the response of a request that ran; `undefined` marks its outcome as unknown. */
   recordAnswer(name: string, answer: StoredAnswer | undefined): void {
     const entry = this.entries.get(name);
     if (entry !== undefined) {
@@ -111,37 +111,37 @@
     }
   }
 
-  /** Notes that a request may or may not have run. */
+  /** Records that a request may or may not have run. */
   recordUnknown(name: string): void {
     this.recordAnswer(name, undefined);
   }
 
-  /** Frees a claim of a request that surely did not run, so that a resend may. */
+  /** Releases the claim of a request that certainly did not run, so that a retry may run. */
   release(name: string): void {
     this.entries.delete(name);
   }
 
-  private forgetOld(nowMs: number): void {
-    const oldest = nowMs - this.limits.memoryMs;
-    // Entries stand in the order of their claims, so the first one that stays ends the search.
+  private evictOld(nowMs: number): void {
+    const cutoffMs = nowMs - this.limits.memoryMs;
+    // Entries are in the order of their claims, so the first one that is kept ends the search.
     for (const [name, entry] of this.entries) {
-      const surplus = this.entries.size >= this.limits.entries;
+      const isFull = this.entries.size >= this.limits.entries;
       if (
-        entry.state === "running" || (entry.claimedAtMs > oldest && !surplus)
+        entry.state === "running" || (entry.claimedAtMs > cutoffMs && !isFull)
       ) {
         break;
       }
       this.entries.delete(name);
-      // A resend of what is forgotten here was first sent, by its caller's clock, at most this late.
-      this.remembersSinceMs = Math.max(
-        this.remembersSinceMs,
+      // The latest time, by its caller's clock, at which the evicted request can have been sent first.
+      this.evictedUpToMs = Math.max(
+        this.evictedUpToMs,
         entry.claimedAtMs + this.limits.clockSkewMs,
       );
     }
   }
 }
 
-function claimAgain(known: Entry, fingerprint: string): AttemptClaim {
+function claimForRetry(known: LedgerEntry, fingerprint: string): AttemptClaim {
   if (known.fingerprint !== fingerprint) {
     return { kind: "different" };
   }
--- a/packages/admission/src/idempotency_ledger_test.ts
+++ b/packages/admission/src/idempotency_ledger_test.ts
@@ -1,5 +1,5 @@
 /**
- * Property tests of the memory of non-idempotent requests, against owners that follow each other.
+ * Property tests of the ledger of non-idempotent requests, across changes of the owner.
  *
  * @module
  */
@@ -14,19 +14,19 @@
 const event = fc.record({
   kind: fc.constantFrom(
     "send",
-    "resend",
+    "retry",
     "change_owner",
     "answer",
     "forget_answer",
   ),
-  timeMs: fc.nat(400),
-  /** The caller's clock differs by this much. */
+  elapsedMs: fc.nat(400),
+  /** Difference of the caller's clock, in milliseconds. */
   skewMs: fc.integer({ min: -25, max: 25 }),
   choice: fc.nat(30),
 });
 
-describe("idempotency ledger", () => {
-  describe("over resends, owner changes, skewed clocks and a bounded memory", () => {
+describe("IdempotencyLedger", () => {
+  describe("over retries, owner changes, clock skew and bounded retention", () => {
     it("lets no request run twice", () => {
       const property = fc.property(
         fc.array(event, { maxLength: 60 }),
@@ -40,17 +40,17 @@
             request: { name: string; firstSentMs: number },
             firstAttempt: boolean,
           ) => {
-            const verdict = ledger.claim({
+            const claimed = ledger.claim({
               ...request,
               fingerprint: request.name,
               firstAttempt,
             }, { nowMs, tenureSinceMs });
-            if (verdict.kind === "run") {
+            if (claimed.kind === "run") {
               runs.set(request.name, (runs.get(request.name) ?? 0) + 1);
             }
           };
-          events.forEach(({ kind, timeMs, skewMs, choice }, index) => {
-            nowMs += timeMs;
+          events.forEach(({ kind, elapsedMs, skewMs, choice }, index) => {
+            nowMs += elapsedMs;
             const earlier = sent[choice % Math.max(1, sent.length)];
             if (kind === "send") {
               const request = {
@@ -62,7 +62,7 @@
             } else if (kind === "change_owner") {
               ledger = IdempotencyLedger.create(LIMITS);
               tenureSinceMs = nowMs + skewMs;
-            } else if (earlier !== undefined && kind === "resend") {
+            } else if (earlier !== undefined && kind === "retry") {
               claim(earlier, false);
             } else if (earlier !== undefined) {
               ledger.recordAnswer(
@@ -80,7 +80,7 @@
     });
   });
 
-  describe("a resend", () => {
+  describe("for a retry", () => {
     const request = {
       name: "order",
       fingerprint: "a",
@@ -89,7 +89,7 @@
     };
     const at = { nowMs: 2_000, tenureSinceMs: 0 };
 
-    it("gets the first answer", () => {
+    it("returns the first response", () => {
       const ledger = IdempotencyLedger.create(LIMITS);
       const answer = { status: 201, headers: {}, body: new Uint8Array([1]) };
       expect(ledger.claim(request, at).kind).to.equal("run");
@@ -101,7 +101,7 @@
       });
     });
 
-    it("that is another request under the same key is refused", () => {
+    it("refuses a different request under the same key", () => {
       const ledger = IdempotencyLedger.create(LIMITS);
       ledger.claim(request, at);
       expect(ledger.claim({ ...request, fingerprint: "b" }, at).kind).to.equal(
@@ -109,7 +109,7 @@
       );
     });
 
-    it("may run after the first surely did not", () => {
+    it("lets it run after the first attempt certainly did not", () => {
       const ledger = IdempotencyLedger.create(LIMITS);
       ledger.claim(request, at);
       ledger.release("order");
@@ -118,8 +118,8 @@
     });
   });
 
-  describe("first-sent time", () => {
-    it("is read from a UUID of version 7 and from nothing else", () => {
+  describe("readFirstSentMs", () => {
+    it("reads the time from a UUID of version 7 and from nothing else", () => {
       expect(readFirstSentMs("018f3b2a-7c00-7abc-8def-0123456789ab")).to.equal(
         0x018f3b2a7c00,
       );
--- a/packages/admission/src/retry_policy.ts
+++ b/packages/admission/src/retry_policy.ts
@@ -1,63 +1,63 @@
 /**
- * Decides whether a request is tried again, and when.
+ * Decides whether and when a request is retried.
  *
  * @module
  */
 import { backoffMs } from "./backoff.ts";
 import type { RetryBudget } from "./retry_budget.ts";
 
-/** What an attempt showed, as far as a retry depends on it. */
+/** The outcome of an attempt, as far as a retry depends on it. */
 export interface AttemptSummary {
-  /** Whether no byte can have reached a backend server. */
+  /** Whether the request certainly did not run, since no byte of it can have reached a backend server. */
   readonly surelyNotRun: boolean;
   /**
-   * Whether the refusal was about ownership and a later look at the table may show another owner. A
-   * server that refused because it is overloaded is not asked again.
+   * Whether the request was refused because of ownership, and a later lookup may return another owner. A request that
+   * an overloaded server refused is not retried.
    */
   readonly ownershipMoved: boolean;
 }
 
-/** What is known of the request. */
+/** Properties of the request that a retry depends on. */
 export interface RetryContext {
-  /** How many attempts were made. */
+  /** Number of attempts so far. */
   readonly attempts: number;
-  /** Time that is left, in milliseconds. */
+  /** Time until the deadline, in milliseconds. */
   readonly remainingMs: number;
   readonly idempotent: boolean;
-  /** Whether the whole body is at hand to be sent again. */
+  /** Whether the whole body is buffered, so that it can be sent again. */
   readonly replayable: boolean;
-  /** A number from 0 up to 1. */
+  /** A random number from 0 up to 1, for jitter. */
   readonly random: number;
 }
 
-/** The first pause, in milliseconds. */
-const FIRST_PAUSE_MS = 10;
-/** Less than this is left: an attempt can't be of use any more, in milliseconds. */
-const LEAST_REMAINING_MS = 2;
+/** Maximum delay before the first retry, in milliseconds. */
+const BASE_BACKOFF_MS = 10;
+/** Minimum time until the deadline, in milliseconds; with less, an attempt is useless. */
+const MIN_REMAINING_MS = 2;
 
 /**
- * Decides about a retry.
+ * Decides whether a request is retried after a failed attempt.
  *
- * @returns the pause before it in milliseconds, or `undefined` for no retry.
+ * @returns the delay before the retry in milliseconds, or `undefined` for no retry.
  */
 export function decideRetry(
   attempt: AttemptSummary,
   context: RetryContext & { readonly budget: RetryBudget },
 ): number | undefined {
-  const harmless = attempt.surelyNotRun
+  const isSafe = attempt.surelyNotRun
     ? attempt.ownershipMoved
     : context.idempotent;
-  if (!harmless || !context.replayable) {
+  if (!isSafe || !context.replayable) {
     return undefined;
   }
-  const pauseMs = backoffMs(context.attempts, {
-    baseMs: FIRST_PAUSE_MS,
+  const delayMs = backoffMs(context.attempts, {
+    baseMs: BASE_BACKOFF_MS,
     random: context.random,
   });
-  if (context.remainingMs - pauseMs < LEAST_REMAINING_MS) {
+  if (context.remainingMs - delayMs < MIN_REMAINING_MS) {
     return undefined;
   }
-  // Work that may have run costs the backend server a second time, so it comes out of the budget.
-  const paid = attempt.surelyNotRun || context.budget.tryRetry();
-  return paid ? pauseMs : undefined;
+  // A request that may have run costs the backend server a second time, so its retry is taken out of the budget.
+  const isAllowed = attempt.surelyNotRun || context.budget.tryRetry();
+  return isAllowed ? delayMs : undefined;
 }
--- a/packages/admission/src/retry_policy_test.ts
+++ b/packages/admission/src/retry_policy_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of retries: what may be tried again, and how much of it.
+ * Tests of retries: which requests may be retried, when and how often.
  *
  * @module
  */
@@ -22,23 +22,23 @@
 });
 
 describe("retries", () => {
-  describe("decision", () => {
-    it("never repeats what may have run and is not idempotent, nor passes the deadline", () => {
+  describe("decideRetry", () => {
+    it("never retries a request that may have run and is not idempotent, nor past the deadline", () => {
       const property = fc.property(attempt, context, (summary, given) => {
-        const pauseMs = decideRetry(summary, {
+        const delayMs = decideRetry(summary, {
           ...given,
           budget: RetryBudget.create(1),
         });
-        if (pauseMs !== undefined) {
+        if (delayMs !== undefined) {
           expect(summary.surelyNotRun || given.idempotent).to.equal(true);
           expect(given.replayable).to.equal(true);
-          expect(pauseMs).to.be.below(given.remainingMs);
+          expect(delayMs).to.be.below(given.remainingMs);
         }
       });
       fc.assert(property, { seed: 17, numRuns: 1_000 });
     });
 
-    it("does not ask a server again that refused for lack of room", () => {
+    it("does not retry a request that a server refused for lack of capacity", () => {
       const given = {
         attempts: 1,
         remainingMs: 1_000,
@@ -52,11 +52,10 @@
     });
   });
 
-  describe("budget", () => {
-    // Symptom: load triples just when a backend server is slow.
-    // Sequence: every request times out and is tried again, three times.
-    // Cause: retries that are not bounded by a share of the requests.
-    it("allows about a tenth of the requests over time", () => {
+  describe("RetryBudget", () => {
+    // Guards against the load tripling just when a backend server is slow: every request timed out and was tried three
+    // times, because retries were not bounded to a share of the requests.
+    it("allows retries for about a tenth of the requests over time", () => {
       const budget = RetryBudget.create(0.1);
       const retries = Array.from({ length: 10_000 }, () => {
         budget.noteRequest();
@@ -66,14 +65,14 @@
     });
   });
 
-  describe("time to come back", () => {
-    it("is never less than the wait, and spread over as long again", () => {
+  describe("retryAfterMs", () => {
+    it("is never less than the wait, with jitter of up to as long again", () => {
       const property = fc.property(
         fc.nat(10_000),
         fc.double({ min: 0, max: 0.999, noNaN: true }),
         (waitMs, random) => {
-          const after = retryAfterMs(waitMs, { leastMs: 500, random });
-          expect(after).to.be.within(
+          const delayMs = retryAfterMs(waitMs, { leastMs: 500, random });
+          expect(delayMs).to.be.within(
             Math.max(500, waitMs),
             2 * Math.max(500, waitMs),
           );
--- a/packages/admission/src/slot_queue.ts
+++ b/packages/admission/src/slot_queue.ts
@@ -1,22 +1,22 @@
 /**
- * The queue in front of one backend server's slots: bounded, by class, aware of deadlines.
+ * The request queue of one backend server: bounded, ordered by priority class, and aware of deadlines.
  *
- * Whoever is refused is told so when it is known, not when its time is up. What the queue sheds is
- * what could not be served in time anyway, or what matters less than what just came.
+ * Requests are refused as soon as it is certain that they can't be served, not when their deadline passes. The queue
+ * refuses requests that would miss their deadline anyway, or that have a lower priority than a new one.
  *
  * @module
  */
 import type { PriorityClass } from "@bamboolink/types";
 
-/** One request that asks for a slot. */
+/** A request for a slot. */
 export interface SlotRequest {
   readonly id: string;
   readonly priority: PriorityClass;
-  /** When its time is up, in milliseconds on the clock that the queue is given. */
+  /** Deadline, in milliseconds on the clock of the times that are passed to the queue. */
   readonly deadlineMs: number;
 }
 
-/** What becomes of an offered request. */
+/** The decision on an offered request. */
 export type SlotVerdict =
   | { readonly kind: "run" }
   | { readonly kind: "wait" }
@@ -26,11 +26,11 @@
     readonly waitMs: number;
   };
 
-/** What becomes of waiting requests when something changes. */
+/** The waiting requests to start or to refuse after a change. */
 export interface SlotChanges {
-  /** Identities of requests that run now. */
+  /** Ids of the requests that run now. */
   readonly run: readonly string[];
-  /** Identities of requests that are given up, with the reason. */
+  /** Ids of the requests that are refused, with the reason. */
   readonly refuse: readonly {
     readonly id: string;
     readonly reason: "queue_full" | "too_late";
@@ -39,26 +39,29 @@
 
 /** Limits of a queue. */
 export interface SlotQueueLimits {
-  /** How many requests run at once. */
+  /** Maximum number of requests that run concurrently. */
   readonly slots: number;
-  /** How many requests may wait. */
+  /** Maximum number of waiting requests. */
   readonly length: number;
 }
 
-/** Weight of the newest observation in the average time of service. */
-const SMOOTHING = 0.1;
-const CLASS_ORDER: Record<PriorityClass, number> = { interactive: 0, batch: 1 };
+/** Weight of the latest observation in the average service time (EWMA). */
+const SERVICE_TIME_WEIGHT = 0.1;
+const PRIORITY_ORDER: Record<PriorityClass, number> = {
+  interactive: 0,
+  batch: 1,
+};
 
 /**
- * The share of a request's time that it may wait for a slot. Beyond what keeps the slots busy a longer
- * queue serves nobody more, it only makes all who wait slower; a report may be late, a quote may not.
+ * Maximum share of a request's remaining time that it may wait for a slot. A queue longer than needed to keep the slots
+ * busy does not increase throughput but only the latency of all waiting requests. A report may be late, a quote may not.
  */
-const WAIT_SHARE: Record<PriorityClass, number> = {
+const MAX_WAIT_SHARE: Record<PriorityClass, number> = {
   interactive: 0.25,
   batch: 1,
 };
 
-/** The queue in front of one backend server. */
+/** The request queue of one backend server. */
 export class SlotQueue {
   private waiting: SlotRequest[] = [];
   private readonly running = new Set<string>();
@@ -71,27 +74,27 @@
     return new SlotQueue(limits);
   }
 
-  /** Changes the limits; requests that run stay, also where there are fewer slots now. */
+  /** Changes the limits; running requests continue even if there are fewer slots now. */
   setLimits(limits: SlotQueueLimits): void {
     this.limits = limits;
   }
 
-  /** How many requests run. */
+  /** Number of running requests. */
   get runningCount(): number {
     return this.running.size;
   }
 
-  /** How many requests wait. */
+  /** Number of waiting requests. */
   get waitingCount(): number {
     return this.waiting.length;
   }
 
-  /** Average time that a request holds a slot, in milliseconds. */
+  /** Average time for which a request holds a slot, in milliseconds. */
   get serviceMs(): number {
     return this.meanServiceMs;
   }
 
-  /** How long a request would wait behind `ahead` others, in milliseconds. */
+  /** Expected wait of a request with `ahead` others before it, in milliseconds. */
   expectedWaitMs(ahead: number): number {
     const busy = this.running.size >= this.limits.slots;
     return busy ? ((ahead + 1) / this.limits.slots) * this.meanServiceMs : 0;
@@ -100,7 +103,7 @@
   /**
    * Offers a request.
    *
-   * @returns the verdict, and waiting requests of a lower class that made room.
+   * @returns the decision, and the ids of waiting requests of a lower class that were displaced by it.
    */
   offer(
     request: SlotRequest,
@@ -113,7 +116,7 @@
     const ahead = this.positionOf(request);
     const waitMs = this.expectedWaitMs(ahead);
     if (
-      nowMs + this.meanServiceMs + waitMs / WAIT_SHARE[request.priority] >
+      nowMs + this.meanServiceMs + waitMs / MAX_WAIT_SHARE[request.priority] >
         request.deadlineMs
     ) {
       return {
@@ -128,7 +131,7 @@
     const last = this.waiting.at(-1);
     if (
       last === undefined ||
-      CLASS_ORDER[last.priority] <= CLASS_ORDER[request.priority]
+      PRIORITY_ORDER[last.priority] <= PRIORITY_ORDER[request.priority]
     ) {
       return {
         verdict: { kind: "refuse", reason: "queue_full", waitMs },
@@ -140,25 +143,28 @@
     return { verdict: { kind: "wait" }, displaced: [last.id] };
   }
 
-  /** Notes that a request left its slot. Pass how long it held it, where that says something. */
+  /**
+   * Frees the slot of a request.
+   *
+   * @param at the time, and how long the request held the slot, where that should count in the average.
+   */
   finish(id: string, at: { nowMs: number; tookMs?: number }): SlotChanges {
     if (this.running.delete(id) && at.tookMs !== undefined) {
       const first = this.meanServiceMs === 0;
-      this.meanServiceMs = first
-        ? at.tookMs
-        : this.meanServiceMs + SMOOTHING * (at.tookMs - this.meanServiceMs);
+      this.meanServiceMs = first ? at.tookMs : this.meanServiceMs +
+        SERVICE_TIME_WEIGHT * (at.tookMs - this.meanServiceMs);
     }
     return this.advance(at.nowMs);
   }
 
-  /** Takes a waiting request out, because its caller left. */
+  /** Removes a waiting request whose caller disconnected; returns whether it was waiting. */
   cancel(id: string): boolean {
     const before = this.waiting.length;
     this.waiting = this.waiting.filter((request) => request.id !== id);
     return this.waiting.length < before;
   }
 
-  /** Gives up requests that can't be served in time any more and fills free slots. */
+  /** Refuses requests that can no longer be served before their deadline, and fills free slots. */
   advance(nowMs: number): SlotChanges {
     const late = this.waiting.filter((request) =>
       nowMs + this.meanServiceMs > request.deadlineMs
@@ -173,16 +179,16 @@
     };
   }
 
-  /** Takes all waiting requests out, for example because ownership ended. */
+  /** Removes all waiting requests, for example because ownership ended; returns their ids. */
   clear(): string[] {
     return this.waiting.splice(0).map((request) => request.id);
   }
 
-  /** Behind all of its own and of higher classes, before lower ones. */
+  /** Position in the queue: behind all requests of the same and higher classes, before those of lower ones. */
   private positionOf(request: SlotRequest): number {
-    const order = CLASS_ORDER[request.priority];
+    const order = PRIORITY_ORDER[request.priority];
     const behind = this.waiting.findIndex((other) =>
-      CLASS_ORDER[other.priority] > order
+      PRIORITY_ORDER[other.priority] > order
     );
     return behind < 0 ? this.waiting.length : behind;
   }
--- a/packages/admission/src/slot_queue_test.ts
+++ b/packages/admission/src/slot_queue_test.ts
@@ -1,5 +1,5 @@
 /**
- * Property tests of the queue in front of a backend server's slots.
+ * Property tests of the request queue of a backend server.
  *
  * @module
  */
@@ -13,14 +13,14 @@
 const event = fc.record({
   kind: fc.constantFrom("offer", "finish", "cancel", "advance"),
   priority: fc.constantFrom("interactive" as const, "batch" as const),
-  timeMs: fc.nat(20),
-  allowedMs: fc.nat(100),
+  elapsedMs: fc.nat(20),
+  timeoutMs: fc.nat(100),
   choice: fc.nat(20),
 });
 
-describe("slot queue", () => {
-  describe("under any sequence of requests, ends, departures and time", () => {
-    it("keeps its bounds, gives each request one end, and runs none past its deadline", () => {
+describe("SlotQueue", () => {
+  describe("under any sequence of requests, ends, cancellations and time", () => {
+    it("keeps its bounds, ends each request once, and starts none past its deadline", () => {
       const property = fc.property(
         fc.array(event, { maxLength: 80 }),
         (events) => {
@@ -29,49 +29,49 @@
           const waiting = new Map<string, SlotRequest>();
           const ended = new Set<string>();
           let nowMs = 0;
-          const begin = (id: string) => {
+          const markRunning = (id: string) => {
             expect(nowMs).to.be.at.most(
               (waiting.get(id) as SlotRequest).deadlineMs,
             );
             waiting.delete(id);
             running.add(id);
           };
-          const end = (id: string) => {
+          const markEnded = (id: string) => {
             expect(ended.has(id)).to.equal(false);
             waiting.delete(id);
             ended.add(id);
           };
           const apply = (changes: ReturnType<SlotQueue["advance"]>) => {
-            changes.run.forEach(begin);
-            changes.refuse.forEach(({ id }) => end(id));
+            changes.run.forEach(markRunning);
+            changes.refuse.forEach(({ id }) => markEnded(id));
           };
           events.forEach(
-            ({ kind, priority, timeMs, allowedMs, choice }, index) => {
-              nowMs += timeMs;
+            ({ kind, priority, elapsedMs, timeoutMs, choice }, index) => {
+              nowMs += elapsedMs;
               if (kind === "offer") {
                 const request = {
                   id: String(index),
                   priority,
-                  deadlineMs: nowMs + allowedMs,
+                  deadlineMs: nowMs + timeoutMs,
                 };
                 const { verdict, displaced } = queue.offer(request, nowMs);
-                displaced.forEach(end);
+                displaced.forEach(markEnded);
                 if (verdict.kind === "run") {
                   running.add(request.id);
                 } else if (verdict.kind === "wait") {
                   waiting.set(request.id, request);
                 } else {
-                  end(request.id);
+                  markEnded(request.id);
                 }
               } else if (kind === "finish" && running.size > 0) {
                 const id = [...running][choice % running.size] as string;
                 running.delete(id);
                 ended.add(id);
-                apply(queue.finish(id, { nowMs, tookMs: timeMs }));
+                apply(queue.finish(id, { nowMs, tookMs: elapsedMs }));
               } else if (kind === "cancel" && waiting.size > 0) {
                 const id = [...waiting.keys()][choice % waiting.size] as string;
                 expect(queue.cancel(id)).to.equal(true);
-                end(id);
+                markEnded(id);
               } else if (kind === "advance") {
                 apply(queue.advance(nowMs));
               }
@@ -90,7 +90,7 @@
   });
 
   describe("when it is full", () => {
-    it("gives up the last batch request for an interactive one, never the other way", () => {
+    it("displaces the last batch request for an interactive one, never the reverse", () => {
       const queue = SlotQueue.create({ slots: 1, length: 1 });
       const offer = (id: string, priority: "interactive" | "batch") =>
         queue.offer({ id, priority, deadlineMs: 1_000 }, 0);
@@ -104,11 +104,10 @@
     });
   });
 
-  describe("when the wait would outlast the deadline", () => {
-    // Symptom: under overload callers wait their whole time for a refusal.
-    // Sequence: the queue is longer than can be served before the newest deadline.
-    // Cause: admission that does not look at what stands ahead.
-    it("refuses at once and says how long the wait would be", () => {
+  describe("when the wait would exceed the deadline", () => {
+    // Guards against callers waiting until their deadline for a refusal under overload: the queue was longer than can be
+    // served before the latest deadline, and admission ignored the requests ahead.
+    it("refuses at once and returns the expected wait", () => {
       const queue = SlotQueue.create({ slots: 1, length: 100 });
       queue.offer(
         { id: "first", priority: "interactive", deadlineMs: 1_000 },
--- a/packages/traffic/src/mod.ts
+++ b/packages/traffic/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Finds the route of a request and the service that is to run it. Pure.
+ * Finds the route of a request and the service that runs it, and tracks zone evacuations and pipelining. Pure.
  *
  * @module
  */
--- a/packages/traffic/src/pipeline_tracker.ts
+++ b/packages/traffic/src/pipeline_tracker.ts
@@ -1,65 +1,67 @@
 /**
- * Keeps the order of requests on callers' connections, and learns on which routes callers send further requests
- * before the first is answered.
+ * Tracks the order of requests on callers' connections, and on which routes callers pipeline requests: send further
+ * ones before the response to the first.
  *
  * @module
  */
 
-/** Weight of the latest request in a route's share. */
+/** Weight of the latest request in the moving average of a route (EWMA). */
 const LEARNING_RATE = 0.05;
-/** A route is followed from this share of its requests on. */
-const FOLLOWED_SHARE = 0.1;
+/** Share of a route's requests with others behind them from which the route counts as pipelined. */
+const PIPELINED_SHARE = 0.1;
 
-/** What is known of one connection. */
 interface ConnectionEntry {
-  underWay: number;
-  /** How many requests have come on it. */
-  begun: number;
+  inFlight: number;
+  /** Number of requests that the connection has received. */
+  receivedCount: number;
 }
 
-/** The requests on each connection. */
+/** Tracks the requests on each connection. */
 export class PipelineTracker<Connection extends object> {
   private readonly connections = new WeakMap<Connection, ConnectionEntry>();
-  private readonly followed = new Map<string, number>();
+  private readonly pipelinedShares = new Map<string, number>();
 
   private constructor() {}
 
-  /** Creates one that has seen no request. */
+  /** Creates a tracker without history. */
   static create<Connection extends object>(): PipelineTracker<Connection> {
     return new PipelineTracker();
   }
 
-  /** A request has come on a connection; returns its place there. */
+  /** Records a request on a connection; returns its position there, counted from 1. */
   beginRequest(connection: Connection): number {
     const entry = this.entryOf(connection);
-    entry.underWay += 1;
-    entry.begun += 1;
-    return entry.begun;
+    entry.inFlight += 1;
+    entry.receivedCount += 1;
+    return entry.receivedCount;
   }
 
-  /** Whether no request has come behind the one at a place. */
-  isLast(connection: Connection, place: number): boolean {
-    return this.entryOf(connection).begun === place;
+  /** Whether no request has been received after the one at the given position. */
+  isLast(connection: Connection, position: number): boolean {
+    return this.entryOf(connection).receivedCount === position;
   }
 
-  /** A request of a route has ended; without a route it is not learned from. */
+  /** Records the end of a request; without a route it does not count towards the share of any route. */
   endRequest(connection: Connection, route: string | undefined): void {
     const entry = this.entryOf(connection);
-    entry.underWay -= 1;
+    entry.inFlight -= 1;
     if (route !== undefined) {
-      const share = this.followed.get(route) ?? 0;
-      const isFollowed = entry.underWay > 0 ? 1 : 0;
-      this.followed.set(route, share + LEARNING_RATE * (isFollowed - share));
+      const share = this.pipelinedShares.get(route) ?? 0;
+      const hasFollower = entry.inFlight > 0 ? 1 : 0;
+      this.pipelinedShares.set(
+        route,
+        share + LEARNING_RATE * (hasFollower - share),
+      );
     }
   }
 
   /**
-   * Whether others are likely to wait behind a request of a route: answers go out in the order of the requests,
-   * so what makes this one late makes them late, too.
+   * Whether other requests probably wait behind a request of a route. Responses are sent in the order of the requests,
+   * so a late one delays those behind it, too.
    */
   isLikelyPipelined(connection: Connection, route: string): boolean {
-    return this.entryOf(connection).underWay > 1 ||
-      (this.followed.get(route) ?? 0) >= FOLLOWED_SHARE;
+    return this.entryOf(connection).inFlight > 1 ||
+      (this.pipelinedShares.get(route) ?? 0) >= PIPELINED_SHARE;
   }
 
   private entryOf(connection: Connection): ConnectionEntry {
@@ -67,7 +69,7 @@
     if (known !== undefined) {
       return known;
     }
-    const entry = { underWay: 0, begun: 0 };
+    const entry = { inFlight: 0, receivedCount: 0 };
     this.connections.set(connection, entry);
     return entry;
   }
--- a/packages/traffic/src/pipeline_tracker_test.ts
+++ b/packages/traffic/src/pipeline_tracker_test.ts
@@ -1,52 +1,52 @@
 /**
- * Tests of learning which requests are followed by others on their connection.
+ * Tests of tracking pipelined requests.
  *
  * @module
  */
 import { expect } from "chai";
 import { PipelineTracker } from "./pipeline_tracker.ts";
 
-describe("connection order", () => {
-  describe("while callers wait for each answer", () => {
-    it("takes no request for followed", () => {
-      const order = PipelineTracker.create();
+describe("PipelineTracker", () => {
+  describe("while callers wait for each response", () => {
+    it("considers no request pipelined", () => {
+      const tracker = PipelineTracker.create();
       const connection = {};
       Array.from({ length: 40 }, () => {
-        order.beginRequest(connection);
-        order.endRequest(connection, "look-up");
+        tracker.beginRequest(connection);
+        tracker.endRequest(connection, "look-up");
       });
-      order.beginRequest(connection);
-      expect(order.isLikelyPipelined(connection, "look-up")).to.equal(false);
+      tracker.beginRequest(connection);
+      expect(tracker.isLikelyPipelined(connection, "look-up")).to.equal(false);
     });
   });
 
-  describe("when callers send ahead", () => {
-    it("takes requests of that route for followed, on any connection", () => {
-      const order = PipelineTracker.create();
+  describe("when callers pipeline requests", () => {
+    it("considers requests of that route pipelined on any connection", () => {
+      const tracker = PipelineTracker.create();
       const busy = {};
       Array.from({ length: 40 }, () => {
-        order.beginRequest(busy);
-        order.beginRequest(busy);
-        order.endRequest(busy, "look-up");
-        order.endRequest(busy, "view");
+        tracker.beginRequest(busy);
+        tracker.beginRequest(busy);
+        tracker.endRequest(busy, "look-up");
+        tracker.endRequest(busy, "view");
       });
       const other = {};
-      order.beginRequest(other);
-      expect(order.isLikelyPipelined(other, "look-up")).to.equal(true);
-      expect(order.isLikelyPipelined(other, "view")).to.equal(false);
+      tracker.beginRequest(other);
+      expect(tracker.isLikelyPipelined(other, "look-up")).to.equal(true);
+      expect(tracker.isLikelyPipelined(other, "view")).to.equal(false);
     });
   });
 
-  describe("of requests that were sent ahead", () => {
-    it("tells which one nobody has come behind", () => {
-      const order = PipelineTracker.create();
+  describe("for pipelined requests", () => {
+    it("reports which one is the last", () => {
+      const tracker = PipelineTracker.create();
       const connection = {};
-      const first = order.beginRequest(connection);
-      const second = order.beginRequest(connection);
-      expect(order.isLast(connection, first)).to.equal(false);
-      order.endRequest(connection, "look-up");
-      expect(order.isLast(connection, first)).to.equal(false);
-      expect(order.isLast(connection, second)).to.equal(true);
+      const first = tracker.beginRequest(connection);
+      const second = tracker.beginRequest(connection);
+      expect(tracker.isLast(connection, first)).to.equal(false);
+      tracker.endRequest(connection, "look-up");
+      expect(tracker.isLast(connection, first)).to.equal(false);
+      expect(tracker.isLast(connection, second)).to.equal(true);
     });
   });
 });
--- a/packages/traffic/src/prefix_router.ts
+++ b/packages/traffic/src/prefix_router.ts
@@ -5,7 +5,7 @@
  */
 import type { TrafficRoute } from "@bamboolink/types";
 
-/** Finds routes of one version of the configuration. */
+/** Index of the routes of one configuration version. */
 export class PrefixRouter {
   private constructor(
     private readonly hosts: ReadonlyMap<
@@ -27,16 +27,17 @@
   }
 
   /**
-   * Finds the route with the longest prefix that begins the path.
+   * Finds the route with the longest prefix of the path.
    *
-   * Prefixes end with a slash, so only the parts of the path up to each of its slashes can match: the
-   * cost grows with the depth of the path and not with the number of routes.
+   * Prefixes end with a slash, so only the parts of the path up to each of its slashes can match. The cost grows with
+   * the depth of the path, not with the number of routes.
    *
    * @param host the `Host` header, with or without a port.
-   * @param target the request target; its query is left out.
+   * @param target the request target; its query is ignored.
+   * @returns `undefined` where no route matches.
    */
   find(host: string, target: string): TrafficRoute | undefined {
-    const prefixes = this.hosts.get(withoutPort(host).toLowerCase());
+    const prefixes = this.hosts.get(stripPort(host).toLowerCase());
     if (prefixes === undefined) {
       return undefined;
     }
@@ -54,7 +55,7 @@
   }
 }
 
-function withoutPort(host: string): string {
+function stripPort(host: string): string {
   const colon = host.lastIndexOf(":");
   return colon < 0 || host.endsWith("]") ? host : host.slice(0, colon);
 }
--- a/packages/traffic/src/traffic_split.ts
+++ b/packages/traffic/src/traffic_split.ts
@@ -1,23 +1,27 @@
 /**
- * Splits the requests of a route among services by their weights.
+ * Splits the requests of a route among services by weight.
  *
  * @module
  */
 import type { RouteTarget, TrafficRoute } from "@bamboolink/types";
 
 /**
- * Smooth weighted round robin for each route.
+ * Smooth weighted round robin per route.
  *
- * Drawing a service at random would leave the shares of a route with few requests far off their
- * weights; a fixed sequence keeps each service within one request of its share on every daemon. The
- * start within the sequence is random, so that daemons don't send their first requests to the same one.
+ * With random choice, the shares of a route with few requests would be far off its weights; a fixed sequence keeps each
+ * service within one request of its share on every daemon. The start of the sequence is random, so that daemons don't
+ * send their first requests to the same service.
  */
 export class TrafficSplit {
   private readonly credits = new Map<string, Map<string, number>>();
 
   private constructor(private readonly random: () => number) {}
 
-  /** Creates a split without history; `random` returns numbers from 0 to 1. */
+  /**
+   * Creates a split without history.
+   *
+   * @param random returns numbers from 0 up to 1.
+   */
   static create(random: () => number): TrafficSplit {
     return new TrafficSplit(random);
   }
@@ -28,7 +32,7 @@
     if (others.length === 0) {
       return first.service;
     }
-    const credits = this.creditsOf(route);
+    const credits = this.creditsFor(route);
     const total = route.targets.reduce((sum, { weight }) => sum + weight, 0);
     route.targets.forEach(({ service, weight }) =>
       credits.set(service, (credits.get(service) ?? 0) + weight)
@@ -44,8 +48,8 @@
     return chosen.service;
   }
 
-  /** Credits start anew when the targets of a route change. */
-  private creditsOf(route: TrafficRoute): Map<string, number> {
+  /** Returns the credits of a route, which are reset when its targets change. */
+  private creditsFor(route: TrafficRoute): Map<string, number> {
     const identity = `${route.name} ${JSON.stringify(route.targets)}`;
     const known = this.credits.get(identity);
     if (known !== undefined) {
--- a/packages/traffic/src/traffic_test.ts
+++ b/packages/traffic/src/traffic_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of routes and splits.
+ * Tests of finding routes and of splitting their requests.
  *
  * @module
  */
@@ -24,9 +24,9 @@
   };
 }
 
-describe("prefix router", () => {
+describe("PrefixRouter", () => {
   describe("for any routes and paths", () => {
-    it("agrees with trying all prefixes, longest first", () => {
+    it("finds the same route as trying all prefixes, longest first", () => {
       const prefix = fc.array(fc.constantFrom("a", "b"), { maxLength: 3 })
         .map((parts) => ["", ...parts, ""].join("/"));
       const property = fc.property(
@@ -57,7 +57,7 @@
   });
 });
 
-describe("traffic split", () => {
+describe("TrafficSplit", () => {
   describe("over any number of requests", () => {
     it("keeps each service within one request of its share", () => {
       const property = fc.property(
@@ -78,10 +78,13 @@
           );
           const total = weights.reduce((sum, weight) => sum + weight, 0);
           targets.forEach(({ service, weight }) => {
-            const got = chosen.filter((each) => each === service).length;
-            expect(Math.abs(got - count * weight / total)).to.be.at.most(
-              weights.length,
-            );
+            const chosenCount = chosen.filter((each) =>
+              each === service
+            ).length;
+            expect(Math.abs(chosenCount - count * weight / total)).to.be.at
+              .most(
+                weights.length,
+              );
           });
         },
       );
--- a/packages/traffic/src/zone_evacuations.ts
+++ b/packages/traffic/src/zone_evacuations.ts
@@ -1,8 +1,8 @@
 /**
- * Which availability zones are evacuated, by the newest word of the store or of another daemon.
+ * Which availability zones are evacuated, according to the latest update from the store or another daemon.
  *
- * Guards against a daemon that missed a change, or was told in another order than it happened, sending to servers that
- * operators have taken out of service, or leaving others unused for good.
+ * Prevents a daemon that missed an update, or received updates out of order, from sending requests to servers that
+ * operators have taken out of service, or from leaving other servers unused permanently.
  *
  * @module
  */
@@ -13,31 +13,31 @@
   readonly zones: readonly string[];
 }
 
-/** One zone is evacuated, or taken back. */
+/** The evacuation of one zone, or its end, at one revision of the store. */
 export interface EvacuationChange {
   readonly revision: number;
   readonly zone: string;
   readonly isEvacuated: boolean;
 }
 
-/** The evacuated zones as one daemon knows them. */
+/** The evacuated zones known to one daemon. */
 export class ZoneEvacuations {
   private revision = -1;
   private zones: ReadonlySet<string> = new Set();
 
   private constructor() {}
 
-  /** Creates one that has not been told anything. */
+  /** Creates an instance that has received no state yet. */
   static create(): ZoneEvacuations {
     return new ZoneEvacuations();
   }
 
-  /** Whether anything was told, if only that no zone is evacuated. */
+  /** Whether any state was received, even if it says that no zone is evacuated. */
   get isKnown(): boolean {
     return this.revision >= 0;
   }
 
-  /** What is known, for other daemons; `undefined` before anything was told. */
+  /** The latest state, to be sent to other daemons; `undefined` before any was received. */
   get state(): EvacuationState | undefined {
     const { revision } = this;
     return this.isKnown ? { revision, zones: [...this.zones] } : undefined;
@@ -48,7 +48,7 @@
     return this.zones.has(zone);
   }
 
-  /** Takes the whole state as of a revision; returns whether any zone's changed. */
+  /** Applies the complete state of a revision unless it is outdated; returns whether the set of zones changed. */
   replace({ revision, zones }: EvacuationState): boolean {
     if (revision <= this.revision) {
       return false;
@@ -57,7 +57,7 @@
     return this.set(new Set(zones));
   }
 
-  /** Takes one change; returns whether the zone's state changed. */
+  /** Applies one change unless it is outdated; returns whether the zone's state changed. */
   apply({ revision, zone, isEvacuated }: EvacuationChange): boolean {
     if (revision <= this.revision) {
       return false;
--- a/packages/traffic/src/zone_evacuations_test.ts
+++ b/packages/traffic/src/zone_evacuations_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of which availability zones a daemon takes for evacuated.
+ * Tests of which availability zones a daemon considers evacuated.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import { ZoneEvacuations } from "./zone_evacuations.ts";
 
 describe("ZoneEvacuations", () => {
-  it("knows nothing until it is told, if only that no zone is evacuated", () => {
+  it("is unknown until it receives a state, even an empty one", () => {
     const evacuations = ZoneEvacuations.create();
     expect(evacuations.isKnown).to.equal(false);
     expect(evacuations.state).to.equal(undefined);
@@ -16,7 +16,7 @@
     expect(evacuations.isKnown).to.equal(true);
   });
 
-  it("follows a listing and the changes after it", () => {
+  it("applies a complete state and the changes after it", () => {
     const evacuations = ZoneEvacuations.create();
     evacuations.replace({ revision: 7, zones: ["a"] });
     const change = { revision: 8, zone: "b", isEvacuated: true };
@@ -28,8 +28,8 @@
     expect(evacuations.state).to.deep.equal({ revision: 9, zones: ["b"] });
   });
 
-  // Guards against a late word of an evacuation that was taken back since, and the reverse.
-  it("ends with the newest word, in whatever order words come", () => {
+  // Guards against a delayed update applying an evacuation that has ended since, or ending one that has begun since.
+  it("keeps the state of the highest revision, in whatever order updates arrive", () => {
     const anyState = fc.record({
       revision: fc.nat(20),
       zones: fc.uniqueArray(fc.constantFrom("a", "b", "c")),
