--- a/packages/keyspace/src/confirmation_schedule.ts
+++ b/packages/keyspace/src/confirmation_schedule.ts
@@ -1,63 +1,72 @@
 /**
- * Decides when owners ask what the store holds, to extend their tenures, and when the one daemon that reads for all of
- * them reads.
+ * Decides when owners request the current state of the store, to extend their ownership leases, and when the daemon that
+ * reads on behalf of all of them does so.
  *
- * The load it answers: 98 owners that each need to know it every 1.5 s. Asked for at any moment, a read in 0.4 s is due
- * all the time; brought together, one in 1.4 s is enough.
+ * It is sized for 98 owners that each need a confirmation every 1.5 s. With requests at arbitrary moments, a read would
+ * be due every 0.4 s; with aligned requests, one read in 1.4 s is enough.
  *
  * @module
  */
 
-/** Time between two questions of an owner that is not answered by another daemon, in milliseconds. */
+/** Interval at which an owner repeats its request while no shared read responds, in milliseconds. */
 export const CONFIRM_INTERVAL_MS = 1_500;
 /**
- * An owner asks the daemon that reads for all again between these times after its answer, in milliseconds: the sooner,
- * the more reads; the later, the older its confirmation gets until the next one.
+ * Bounds of the delay from the response of a shared read to the owner's next request, in milliseconds. A shorter delay
+ * causes more reads; a longer one lets confirmations get older.
  */
-const ASK_AGAIN_MS = { least: 900, most: 1_100 };
-/** The daemon that reads for all does so at multiples of this time on its clock, in milliseconds. */
-const READ_EACH_MS = 1_400;
-/** Questions wait for that for so long at most, in milliseconds; an owner reads for itself after 800. */
-const LONGEST_WAIT_MS = 600;
+const NEXT_REQUEST_DELAY_MS = { min: 900, max: 1_100 };
+/** The shared read happens at multiples of this time on the reading daemon's clock, in milliseconds. */
+const SHARED_READ_INTERVAL_MS = 1_400;
 /**
- * Other questions are answered after so long, in milliseconds. Their owners ask again some 1.2 s after they asked, so
- * each time earlier against the common reads, until they are among those who wait for one.
+ * Maximum time for which a request waits for the next shared read, in milliseconds; an owner reads the store on its own
+ * after 800.
  */
-const APART_MS = 200;
+const MAX_BATCH_DELAY_MS = 600;
+/**
+ * Delay of requests that don't wait for the next shared read, in milliseconds. Their owners send the next request about
+ * 1.2 s after this one, so each time earlier relative to the shared reads, until they wait for one of them.
+ */
+const UNALIGNED_BATCH_DELAY_MS = 200;
 
-/** For how long the daemon that reads gathers questions from now on, in milliseconds. */
+/** For how long from now the reading daemon collects requests before it reads, in milliseconds. */
 export function batchDelayMs(nowMs: number): number {
-  const untilReadMs = READ_EACH_MS - nowMs % READ_EACH_MS;
-  return untilReadMs <= LONGEST_WAIT_MS ? untilReadMs : APART_MS;
+  const untilReadMs = SHARED_READ_INTERVAL_MS - nowMs % SHARED_READ_INTERVAL_MS;
+  return untilReadMs <= MAX_BATCH_DELAY_MS
+    ? untilReadMs
+    : UNALIGNED_BATCH_DELAY_MS;
 }
 
-/** The questions of one owner. */
+/** When one owner sends its confirmation requests. */
 export class ConfirmationSchedule {
-  private sentMs = -Infinity;
-  private dueMs = -Infinity;
+  private sentAtMs = -Infinity;
+  private dueAtMs = -Infinity;
 
   private constructor(private readonly random: () => number) {}
 
-  /** Creates the turns of an owner that has not asked yet. */
+  /**
+   * Creates the schedule of an owner that has sent no request yet.
+   *
+   * @param random source of numbers from 0 up to 1, for jitter.
+   */
   static create(random: () => number): ConfirmationSchedule {
     return new ConfirmationSchedule(random);
   }
 
-  /** Whether it is time to ask; with `pauseMs`, whether the last question was sent so long ago. */
-  isDue(nowMs: number, pauseMs?: number): boolean {
+  /** Whether a request is due; with `intervalMs`, whether at least that time has passed since the last one. */
+  isDue(nowMs: number, intervalMs?: number): boolean {
     return nowMs >=
-      (pauseMs === undefined ? this.dueMs : this.sentMs + pauseMs);
+      (intervalMs === undefined ? this.dueAtMs : this.sentAtMs + intervalMs);
   }
 
-  /** A question was sent, or the store is being read. */
+  /** Records that a request was sent, or that a read of the store has begun. */
   recordSent(nowMs: number): void {
-    this.sentMs = nowMs;
-    this.dueMs = nowMs + CONFIRM_INTERVAL_MS;
+    this.sentAtMs = nowMs;
+    this.dueAtMs = nowMs + CONFIRM_INTERVAL_MS;
   }
 
-  /** The daemon that reads for all has answered. */
+  /** Records that the response of a shared read was received. */
   recordSharedRead(nowMs: number): void {
-    const { least, most } = ASK_AGAIN_MS;
-    this.dueMs = nowMs + least + (most - least) * this.random();
+    const { min, max } = NEXT_REQUEST_DELAY_MS;
+    this.dueAtMs = nowMs + min + (max - min) * this.random();
   }
 }
--- a/packages/keyspace/src/ownership_lease.ts
+++ b/packages/keyspace/src/ownership_lease.ts
@@ -1,66 +1,70 @@
 /**
- * How long a daemon may let its backend server hold the keys that the store says are its own, and when
- * another daemon may be sure that this has ended.
+ * How long a daemon may let its backend server hold the keys that the store assigns to it, and when another daemon can
+ * be certain that this time has ended.
  *
  * @module
  */
 import type { Arbiter, OwnershipRecord } from "./ownership_record.ts";
 
 /**
- * The longest tenure, in milliseconds. A read of the store proves for so long, from before it was sent,
- * that no takeover of the owner can have finished, if the arbiters agree or there are none. Daemons that
- * disagreed on it could both be right, so it is no setting. It equals the longest hold that backend servers
- * accept: a shorter one would stop keyed work in shorter outages of the store, a longer one would not be used.
+ * Maximum duration of an ownership lease, in milliseconds, counted from before the read of the store was sent. If all
+ * arbiters have promised, or there are none, no takeover of the owner can finish within it. It is a constant and not a
+ * setting, since daemons with different values could both consider themselves owners. It equals the longest hold that
+ * backend servers accept: a shorter lease would stop keyed work in shorter outages of the store, and a longer one could
+ * not be used.
  */
 export const MAX_LEASE_MS = 10_000;
 
 /**
- * For how long a read proves that without a word of the arbiters, in milliseconds: two reads may fail, each
- * with its timeout. The keys of a lost host stand still for as long.
+ * Duration of an ownership lease without promises of the arbiters, in milliseconds. It allows for two failed reads, each
+ * with its timeout. The keys of a lost host are unavailable for as long.
  */
 export const SHORT_LEASE_MS = 4_000;
 
 /**
- * For how long an arbiter's promise extends a tenure, in milliseconds. It must not be longer than the short
- * tenure: an arbiter that has just promised waits for the latter only.
+ * How long an arbiter's promise extends an ownership lease, in milliseconds. It must not exceed `SHORT_LEASE_MS`, since
+ * an arbiter that has just promised waits only for the short lease before a takeover.
  */
 export const PROMISE_TTL_MS = 2_500;
 
 /**
- * How much faster or slower any two clocks involved may run. The slowest are those of backend servers,
- * which may measure a hold 2 % too long; daemons' clocks differ by less than 1 %.
+ * Maximum relative difference between the rates of any two clocks involved. Backend servers have the slowest clocks and
+ * may measure a hold 2 % too long; daemons' clocks differ by less than 1 %.
  */
 export const CLOCK_DRIFT = 0.03;
 
-/** After a seal, how long until the owner's tenure has certainly ended, in milliseconds. */
+/** Time after a seal at which the owner's lease has certainly ended, in milliseconds. */
 export const TAKEOVER_WAIT_MS = Math.ceil(MAX_LEASE_MS * (1 + CLOCK_DRIFT));
 
-/** The same for an arbiter without whose promise the owner could not go on, in milliseconds. */
+/** The same for an arbiter without whose promise the owner's lease ends early, in milliseconds. */
 export const ARBITER_WAIT_MS = Math.ceil(SHORT_LEASE_MS * (1 + CLOCK_DRIFT));
 
-/** The right of one daemon to grant its keys, from what it read in the store and what arbiters promised. */
+/**
+ * The lease under which a daemon may grant its keys, derived from its reads of the store and the promises of arbiters.
+ */
 export class OwnershipLease {
   private confirmedAtMs = -Infinity;
   private revision = 0;
-  private known: readonly Arbiter[] = [];
-  private readonly promises = new Map<string, number>();
+  private requiredArbiters: readonly Arbiter[] = [];
+  private readonly promiseExpiries = new Map<string, number>();
 
   private constructor(private readonly startedAtMs: number) {}
 
   /**
-   * Creates the tenure of a daemon that has read nothing yet.
+   * Creates the lease of a daemon that has not read the store yet.
    *
-   * @param startedAtMs when its process began, on its clock.
+   * @param startedAtMs when its process started, on its clock.
    */
   static create(startedAtMs = -Infinity): OwnershipLease {
     return new OwnershipLease(startedAtMs);
   }
 
   /**
-   * Notes a read of the record that showed no seal on this daemon.
+   * Records a read of the ownership record that showed no seal on this daemon. Reads older than the latest one have no
+   * effect.
    *
-   * @param sentAtMs the daemon's clock before the read was sent: what it shows may be as old.
-   * @param record what was read: whom it names as arbiters, and its revision.
+   * @param sentAtMs the daemon's clock before the read was sent, since the result may be that old.
+   * @param record the record that was read: its arbiters and its revision.
    */
   confirm(
     sentAtMs: number,
@@ -68,51 +72,51 @@
   ): void {
     if (sentAtMs >= this.confirmedAtMs) {
       this.confirmedAtMs = sentAtMs;
-      this.known = record.arbiters;
+      this.requiredArbiters = record.arbiters;
       this.revision = record.revision;
     }
   }
 
   /**
-   * Notes that an arbiter has promised not to take this daemon over for a while.
+   * Records an arbiter's promise not to take this daemon over for `PROMISE_TTL_MS`.
    *
-   * @param askedAtMs the daemon's clock before it asked.
+   * @param requestedAtMs the daemon's clock before it sent the request.
    */
-  recordPromise(arbiter: string, askedAtMs: number): void {
-    const untilMs = askedAtMs + PROMISE_TTL_MS;
-    const knownMs = this.promises.get(arbiter) ?? -Infinity;
-    this.promises.set(arbiter, Math.max(knownMs, untilMs));
+  recordPromise(arbiter: string, requestedAtMs: number): void {
+    const expiresAtMs = requestedAtMs + PROMISE_TTL_MS;
+    const previousMs = this.promiseExpiries.get(arbiter) ?? -Infinity;
+    this.promiseExpiries.set(arbiter, Math.max(previousMs, expiresAtMs));
   }
 
   /**
-   * Forgets everything: the backend server at this address is of another service now, and what was read and promised
-   * for the former says nothing of the new one's keys.
+   * Discards all reads and promises. Called when the backend server at this address belongs to another service: what was
+   * read and promised for the previous service does not apply to the keys of the new one.
    */
   reset(): void {
     this.confirmedAtMs = -Infinity;
     this.revision = 0;
-    this.known = [];
-    this.promises.clear();
+    this.requiredArbiters = [];
+    this.promiseExpiries.clear();
   }
 
-  /** Those without whose promise the tenure ends early. */
+  /** The arbiters without whose promises the lease ends early. */
   get arbiters(): readonly Arbiter[] {
-    return this.known;
+    return this.requiredArbiters;
   }
 
   /**
-   * Whether a takeover of the daemon may have finished since it knows of its keys: after its right has ended, or so
-   * long after its start without one.
+   * Whether another daemon may have finished a takeover of this one: the lease has expired, or, without a lease,
+   * `SHORT_LEASE_MS` have passed since the process started.
    */
   hasExpired(nowMs: number): boolean {
-    const graceUntilMs = this.startedAtMs + SHORT_LEASE_MS;
-    return Math.max(this.expiresAtMs, graceUntilMs) < nowMs;
+    const graceEndsAtMs = this.startedAtMs + SHORT_LEASE_MS;
+    return Math.max(this.expiresAtMs, graceEndsAtMs) < nowMs;
   }
 
   /**
-   * Whether a read of a record may confirm the tenure of a daemon that it names as an owner. One that was put back
-   * because the store had lost a later one confirms only those who were owners all along: a takeover of another may
-   * be among what was lost.
+   * Whether a read of a record may confirm the lease of a daemon that it lists as an owner. A record that was restored
+   * because the store had lost a later one confirms only leases that are still valid: a takeover of another owner may be
+   * among the lost changes.
    */
   mayConfirm(
     record: Pick<OwnershipRecord, "isRestored">,
@@ -121,99 +125,109 @@
     return !record.isRestored || this.expiresAtMs >= nowMs;
   }
 
-  /** Revision of the record by the latest read that confirmed the tenure. */
+  /** Revision of the record in the latest read that confirmed the lease. */
   get confirmedRevision(): number {
     return this.revision;
   }
 
-  /** How old the latest read that confirmed the tenure is, in milliseconds; infinite without one. */
+  /** Age of the latest read that confirmed the lease, in milliseconds; infinite without one. */
   confirmationAgeMs(nowMs: number): number {
     return nowMs - this.confirmedAtMs;
   }
 
-  /** Until when the daemon may let its backend server hold keys, on the daemon's clock. */
+  /** When the daemon must no longer let its backend server hold keys, on the daemon's clock. */
   get expiresAtMs(): number {
-    const promisedMs = Math.min(
-      ...this.known.map(({ daemon }) => this.promises.get(daemon) ?? -Infinity),
+    const promisedUntilMs = Math.min(
+      ...this.requiredArbiters.map(({ daemon }) =>
+        this.promiseExpiries.get(daemon) ?? -Infinity
+      ),
     );
     return Math.max(
       this.confirmedAtMs + SHORT_LEASE_MS,
-      Math.min(this.confirmedAtMs + MAX_LEASE_MS, promisedMs),
+      Math.min(this.confirmedAtMs + MAX_LEASE_MS, promisedUntilMs),
     );
   }
 
   /**
-   * The longest hold that may be granted now, in milliseconds on the backend server's clock; 0 where
-   * none may. A slow clock of the backend server must not carry the hold beyond the tenure.
+   * The longest hold that may be granted now, in milliseconds on the backend server's clock; 0 where none may be. It
+   * allows for clock drift, so that a backend server with a slow clock does not hold keys after the lease has expired.
    */
   maxHoldMs(nowMs: number): number {
-    const left = (this.expiresAtMs - nowMs) / (1 + CLOCK_DRIFT);
-    return Math.max(0, Math.floor(left));
+    const remainingMs = (this.expiresAtMs - nowMs) / (1 + CLOCK_DRIFT);
+    return Math.max(0, Math.floor(remainingMs));
   }
 }
 
 /**
- * Finds out when sealed owners may be replaced. Only the clock of the observing daemon counts: it waits
- * in full from when it first saw the seal in the store, so daemons need no common time.
+ * Determines when sealed owners may be replaced. Only the clock of the observing daemon counts: it waits for the full
+ * time from when it first read the seal, so daemons need no synchronized clocks.
  */
 export class TakeoverTimers {
-  private readonly seals = new Map<number, number>();
-  private readonly offices = new Map<string, number>();
+  private readonly sealsSeenAtMs = new Map<number, number>();
+  private readonly appointmentsSeenAtMs = new Map<string, number>();
 
   private constructor() {}
 
-  /** Creates one that has seen no seal. */
+  /** Creates timers for a daemon that has observed no seal. */
   static create(): TakeoverTimers {
     return new TakeoverTimers();
   }
 
-  /** Notes which owners a record of the store shows as sealed, and whom as arbiters. */
+  /** Records which owners are sealed and which daemons are arbiters in a record of the store. */
   observe(
     record: Pick<OwnershipRecord, "sealedOwners" | "arbiters">,
     nowMs: number,
   ): void {
-    noteSeen(this.seals, record.sealedOwners.map(({ seal }) => seal), nowMs);
-    noteSeen(this.offices, record.arbiters.map(nameOffice), nowMs);
+    updateFirstSeen(
+      this.sealsSeenAtMs,
+      record.sealedOwners.map(({ seal }) => seal),
+      nowMs,
+    );
+    updateFirstSeen(
+      this.appointmentsSeenAtMs,
+      record.arbiters.map(appointmentKey),
+      nowMs,
+    );
   }
 
   /**
-   * Whether the tenure of the owner under a seal has certainly ended.
+   * Whether the lease of the owner under a seal has certainly ended.
    *
-   * An arbiter waits for the short tenure only: the owner can't have gone on without its promise, and it makes none
-   * to an owner that it has seen sealed. But an owner that read the record before the arbiter was named
-   * needs no such promise, so an arbiter must have been one for the longest tenure.
+   * An arbiter waits only for the short lease: the owner's lease could not have been extended without its promise, and it
+   * makes none to an owner that it has observed as sealed. But an owner that read the record before the arbiter was
+   * appointed needs no such promise, so the arbiter must have been appointed for longer than the maximum lease.
    *
-   * @param office the office of the asking daemon, if the record names it as an arbiter.
+   * @param appointment the appointment of the calling daemon, if the record lists it as an arbiter.
    */
-  hasLeaseEnded(seal: number, nowMs: number, office?: Arbiter): boolean {
-    const sealedForMs = nowMs - (this.seals.get(seal) ?? Infinity);
+  hasLeaseEnded(seal: number, nowMs: number, appointment?: Arbiter): boolean {
+    const sealedForMs = nowMs - (this.sealsSeenAtMs.get(seal) ?? Infinity);
     if (sealedForMs > TAKEOVER_WAIT_MS) {
       return true;
     }
-    const inOfficeSinceMs = office === undefined
+    const appointedAtMs = appointment === undefined
       ? undefined
-      : this.offices.get(nameOffice(office));
-    return inOfficeSinceMs !== undefined &&
-      nowMs - inOfficeSinceMs > TAKEOVER_WAIT_MS &&
+      : this.appointmentsSeenAtMs.get(appointmentKey(appointment));
+    return appointedAtMs !== undefined &&
+      nowMs - appointedAtMs > TAKEOVER_WAIT_MS &&
       sealedForMs > ARBITER_WAIT_MS;
   }
 }
 
-/** Keeps for what is there since when it has been, and forgets what is gone. */
-function noteSeen<Key>(
-  seen: Map<Key, number>,
+/** Keeps the time at which each present key was first seen, and removes keys that are no longer present. */
+function updateFirstSeen<Key>(
+  firstSeenAtMs: Map<Key, number>,
   present: readonly Key[],
   nowMs: number,
 ): void {
-  const there = new Set(present);
-  [...seen.keys()]
-    .filter((key) => !there.has(key))
-    .forEach((key) => seen.delete(key));
+  const presentKeys = new Set(present);
+  [...firstSeenAtMs.keys()]
+    .filter((key) => !presentKeys.has(key))
+    .forEach((key) => firstSeenAtMs.delete(key));
   present
-    .filter((key) => !seen.has(key))
-    .forEach((key) => seen.set(key, nowMs));
+    .filter((key) => !firstSeenAtMs.has(key))
+    .forEach((key) => firstSeenAtMs.set(key, nowMs));
 }
 
-function nameOffice({ daemon, appointmentId }: Arbiter): string {
+function appointmentKey({ daemon, appointmentId }: Arbiter): string {
   return `${appointmentId} ${daemon}`;
 }
--- a/packages/keyspace/src/repair_timer.ts
+++ b/packages/keyspace/src/repair_timer.ts
@@ -1,58 +1,58 @@
 /**
- * When a record of ownership that nobody can read may be replaced.
+ * When a corrupt ownership record may be replaced.
  *
  * @module
  */
 import { TAKEOVER_WAIT_MS } from "./ownership_lease.ts";
 
 /**
- * Counts for how long the store has held what is no record, or nothing where there was one.
+ * Measures for how long the store has held a corrupt record, or none where there was one.
  *
- * What it prevents: the last record that the repairer has read need not be the last that there was. Written back at
- * once, it would give keys to their owner of before while the later one still holds them. Nobody confirms a tenure
- * by a record that can't be read, so after the longest one no owner goes on, and any record may follow.
+ * The last record that the repairing daemon has read need not be the last one that was written. Written back at once, it
+ * would return keys to a previous owner while a later owner still holds them. No daemon confirms its lease by a corrupt
+ * record, so after the maximum lease no owner holds keys, and any record may be written.
  */
 export class RepairTimer {
-  private spoiled: { revision: number; sinceMs: number } | undefined;
+  private corrupt: { revision: number; detectedAtMs: number } | undefined;
 
   private constructor() {}
 
-  /** Creates one that has seen nothing spoiled. */
+  /** Creates a timer that has observed no corrupt record. */
   static create(): RepairTimer {
     return new RepairTimer();
   }
 
   /**
-   * Notes that the store's record was found spoiled.
+   * Records that the store's record was found corrupt.
    *
-   * @param revision the store's revision of what is there; 0 where the record was taken away.
-   * @returns whether that is news.
+   * @param revision the store's revision of the corrupt record; 0 where the record was deleted.
+   * @returns whether this revision was not known as corrupt before.
    */
   markCorrupt(revision: number, nowMs: number): boolean {
-    if (this.spoiled?.revision === revision) {
+    if (this.corrupt?.revision === revision) {
       return false;
     }
-    this.spoiled = { revision, sinceMs: nowMs };
+    this.corrupt = { revision, detectedAtMs: nowMs };
     return true;
   }
 
-  /** Notes that the store's record was found readable. */
+  /** Records that the store's record was found readable. */
   markReadable(): void {
-    this.spoiled = undefined;
+    this.corrupt = undefined;
   }
 
-  /** Whether the record was spoiled when it was last looked at. */
+  /** Whether the record was corrupt when it was last read. */
   get isCorrupt(): boolean {
-    return this.spoiled !== undefined;
+    return this.corrupt !== undefined;
   }
 
   /**
-   * The revision that may be replaced now, if there is one. The write must be conditional on it: then the record was
-   * spoiled all the time.
+   * The revision that may be replaced now, if there is one. The write must be conditional on it, which ensures that the
+   * record was corrupt for the whole time.
    */
   findReplaceableRevision(nowMs: number): number | undefined {
-    const { revision, sinceMs } = this.spoiled ??
-      { revision: undefined, sinceMs: Infinity };
-    return nowMs - sinceMs > TAKEOVER_WAIT_MS ? revision : undefined;
+    const { revision, detectedAtMs } = this.corrupt ??
+      { revision: undefined, detectedAtMs: Infinity };
+    return nowMs - detectedAtMs > TAKEOVER_WAIT_MS ? revision : undefined;
   }
 }
--- a/packages/keyspace/src/restore_timer.ts
+++ b/packages/keyspace/src/restore_timer.ts
@@ -1,5 +1,5 @@
 /**
- * When what the store has lost by going back may be put back, and when that is in force.
+ * When a record that the store lost by a rollback may be restored, and when the restored record takes full effect.
  *
  * @module
  */
@@ -7,70 +7,73 @@
 import { TAKEOVER_WAIT_MS } from "./ownership_lease.ts";
 
 /**
- * How long the daemon that puts a record back waits from when it has seen that the store went back, in milliseconds:
- * others tell it within a round of gossip of a later record than its own.
+ * How long a daemon waits between detecting a rollback of the store and restoring the record, in milliseconds: within a
+ * round of gossip, it receives a later record than its own if another daemon has one.
  */
-const GATHER_MS = 700;
+const GATHER_WINDOW_MS = 700;
 
 /**
- * Counts the two waits after a store has gone back: until the newest record that anybody knows is put back, and until
- * nobody holds keys by one that was lost and that nobody who was asked knew.
+ * Measures the two waits after a rollback of the store: until the newest record that any daemon has is restored, and
+ * until no backend server holds keys by a record that was lost and that no reachable daemon had.
  *
- * What it prevents: a record that was put back names an owner that has been replaced, and both hold the keys. Nobody
- * confirms a tenure by a record of a former era, so after the longest tenure no owner goes on by one.
+ * Without the second wait, a restored record could name an owner that has been replaced, and both would hold the keys.
+ * No daemon confirms its lease by a record of an earlier era, so after the maximum lease no owner holds keys by one.
  */
 export class RestoreTimer {
-  private former: { revision: number; sinceMs: number } | undefined;
-  private restored: { era: number; sinceMs: number } | undefined;
+  private earlier: { revision: number; detectedAtMs: number } | undefined;
+  private restored: { era: number; observedAtMs: number } | undefined;
 
   private constructor() {}
 
-  /** Creates one that has seen nothing of the kind. */
+  /** Creates a timer that has observed no rollback. */
   static create(): RestoreTimer {
     return new RestoreTimer();
   }
 
   /**
-   * Notes that the store holds a record of a former era, or none since it went back.
+   * Records that the store holds a record of an earlier era, or none since its rollback.
    *
-   * @param revision the store's revision of what is there; 0 where there is none.
-   * @returns whether that is news.
+   * @param revision the store's revision of that record; 0 where there is none.
+   * @returns whether this revision was not known as one of an earlier era before.
    */
   recordEarlierEra(revision: number, nowMs: number): boolean {
-    if (this.former?.revision === revision) {
+    if (this.earlier?.revision === revision) {
       return false;
     }
-    this.former = { revision, sinceMs: this.former?.sinceMs ?? nowMs };
+    this.earlier = {
+      revision,
+      detectedAtMs: this.earlier?.detectedAtMs ?? nowMs,
+    };
     return true;
   }
 
-  /** Notes a record of the store's present era. */
+  /** Records that the store holds a record of its current era. */
   recordCurrentEra(
     record: Pick<OwnershipRecord, "era" | "isRestored">,
     nowMs: number,
   ): void {
-    this.former = undefined;
+    this.earlier = undefined;
     if (!record.isRestored) {
       this.restored = undefined;
     } else if (this.restored?.era !== record.era) {
-      this.restored = { era: record.era, sinceMs: nowMs };
+      this.restored = { era: record.era, observedAtMs: nowMs };
     }
   }
 
-  /** Whether the store held a record of a former era when it was last looked at. */
+  /** Whether the store held a record of an earlier era when it was last read. */
   get isOfEarlierEra(): boolean {
-    return this.former !== undefined;
+    return this.earlier !== undefined;
   }
 
-  /** The revision of a record of a former era that is to be replaced now, if there is one. */
+  /** The revision of a record of an earlier era that is to be replaced now, if there is one. */
   findReplaceableRevision(nowMs: number): number | undefined {
-    const { revision, sinceMs } = this.former ??
-      { revision: undefined, sinceMs: Infinity };
-    return nowMs - sinceMs >= GATHER_MS ? revision : undefined;
+    const { revision, detectedAtMs } = this.earlier ??
+      { revision: undefined, detectedAtMs: Infinity };
+    return nowMs - detectedAtMs >= GATHER_WINDOW_MS ? revision : undefined;
   }
 
-  /** Whether a record that was put back is in force like any other now. */
+  /** Whether a restored record may take full effect now, like any other. */
   isSettled(nowMs: number): boolean {
-    return nowMs - (this.restored?.sinceMs ?? Infinity) > TAKEOVER_WAIT_MS;
+    return nowMs - (this.restored?.observedAtMs ?? Infinity) > TAKEOVER_WAIT_MS;
   }
 }
--- a/packages/keyspace/src/write_backoff.ts
+++ b/packages/keyspace/src/write_backoff.ts
@@ -1,45 +1,49 @@
 /**
- * Decides when a writer tries again to change a record that other writers change, too.
+ * Exponential backoff with jitter for compare-and-swap writes of a record that several writers change.
  *
  * @module
  */
 
 /**
- * The pause after the first lost race, in milliseconds: within it the news of the other's write has come, and need not
- * be read from the store.
+ * Minimum delay after a conflict, in milliseconds: within it, the update about the other writer's change has usually been
+ * received, and the record need not be read from the store.
  */
-const FIRST_PAUSE_MS = 15;
-/** The longest pause, in milliseconds: what is to be written may be keys that have no owner until then. */
-const LONGEST_PAUSE_MS = 120;
+const MIN_DELAY_MS = 15;
+/** Maximum delay, in milliseconds: the pending write may concern keys that have no owner until it succeeds. */
+const MAX_DELAY_MS = 120;
 
-/** The pauses of one writer of one record. */
+/** The backoff state of one writer of one record. */
 export class WriteBackoff {
-  private losses = 0;
+  private conflicts = 0;
 
   private constructor(private readonly random: () => number) {}
 
-  /** Creates the turns of a writer that has lost no race. */
+  /**
+   * Creates the state of a writer without conflicts.
+   *
+   * @param random source of numbers from 0 up to 1, for jitter.
+   */
   static create(random: () => number): WriteBackoff {
     return new WriteBackoff(random);
   }
 
-  /** A write took effect. */
+  /** Records that a write succeeded, which resets the backoff. */
   recordSuccess(): void {
-    this.losses = 0;
+    this.conflicts = 0;
   }
 
   /**
-   * A write came after another one.
+   * Records that a write failed because another one came first.
    *
-   * @returns how long to wait before the next try, in milliseconds: longer after each loss, and by chance, so that
-   *   those who lost to the same write don't meet again.
+   * @returns the delay before the next attempt, in milliseconds. Its upper bound grows with each conflict; the jitter
+   *   keeps writers that lost to the same write from colliding again.
    */
   recordConflict(): number {
-    const longestMs = Math.min(
-      LONGEST_PAUSE_MS,
-      FIRST_PAUSE_MS * 2 ** (this.losses + 1),
+    const maxDelayMs = Math.min(
+      MAX_DELAY_MS,
+      MIN_DELAY_MS * 2 ** (this.conflicts + 1),
     );
-    this.losses += 1;
-    return FIRST_PAUSE_MS + this.random() * (longestMs - FIRST_PAUSE_MS);
+    this.conflicts += 1;
+    return MIN_DELAY_MS + this.random() * (maxDelayMs - MIN_DELAY_MS);
   }
 }
