--- a/packages/keyspace/src/balance_loads.ts
+++ b/packages/keyspace/src/balance_loads.ts
@@ -1,5 +1,6 @@
 /**
- * Compares the owners of keys by what they can do, and divides the room of the cool ones among the hot ones.
+ * Compares owners by utilization relative to their speed, and allocates the headroom of the least utilized ones to the
+ * hot ones.
  *
  * @module
  */
@@ -9,65 +10,68 @@
 /** The load of one owner of keys. */
 export interface OwnerLoad {
   readonly daemon: string;
-  /** Work offered for each slot: 1 keeps all slots busy, more can't be served. */
+  /** Offered work per slot: 1 keeps all slots busy, more can't be served. */
   readonly utilization: number;
   readonly slots: number;
-  /** Usual time of a request, in milliseconds; 0 where too few were served yet. */
+  /** Typical service time of a request, in milliseconds; 0 where too few were served yet. */
   readonly serviceMs: number;
-  /** How far the utilization may be off by chance, one standard deviation; estimated where it is not known. */
+  /** Standard deviation of the utilization's random error; estimated where it is not known. */
   readonly deviation?: number;
 }
 
-/** An owner's load beside that of the others. */
+/** An owner's load relative to the other owners. */
 export interface BalancedLoad {
   readonly daemon: string;
   readonly utilization: number;
-  /** How far that may be off by chance: one standard deviation. */
+  /** Standard deviation of the utilization's random error. */
   readonly deviation: number;
   /** Work that it can do, in slots of an owner of average speed. */
   readonly capacity: number;
-  /** Time of a request there, as a multiple of the mean. */
+  /** Service time of a request there, as a multiple of the mean. */
   readonly slowness: number;
 }
 
-/** What one taker gets from one giver. */
+/** Work that one owner may move to another. */
 export interface MoveAllocation {
-  readonly taker: BalancedLoad;
+  readonly recipient: BalancedLoad;
   /** In slots of an owner of average speed. */
   readonly amount: number;
 }
 
 /**
- * An owner sheds only while its utilization is above this: below it no request waits long, and a move
- * would cost more than it brings.
+ * An owner moves keys away only while its utilization is above this: below it no request waits long, and a move would
+ * cost more than it gains.
  */
 const HOT_UTILIZATION = 0.6;
-/** The least distance above the target that is worth a move. */
-const WORTHWHILE_EXCESS = 0.25;
+/** Minimum excess over the target utilization that justifies a move. */
+const MIN_EXCESS = 0.25;
 /**
- * An owner counts as hot only from so many standard deviations above the target on. One of a large fleet sees a few
- * requests a second: without this, a third of 98 owners with equal work shed in a second, keys that bring no more than
- * others a second later, in 645 writes in 20 s in place of 22 (replayed).
+ * Number of standard deviations above the target from which on an owner counts as hot. An owner in a large fleet serves a
+ * few requests a second: without this bound, a third of 98 owners with equal work moved keys away within a second, and a
+ * second later these keys brought no more work than others; that took 645 writes in 20 s rather than 22.
+ */
+const MIN_EXCESS_DEVIATIONS = 2;
+/** An owner moves keys to one without any from this utilization on, so that the latter gets a share of the work. */
+const KEYLESS_SHARING_UTILIZATION = 0.05;
+/**
+ * An owner above this utilization refuses requests; to avoid that, other owners may be filled beyond the mean
+ * utilization.
  */
-const CERTAIN_DEVIATIONS = 2;
-/** An owner sheds to one without any keys from this utilization on, so that it takes part at all. */
-const SHARING_UTILIZATION = 0.05;
-/** An owner above this refuses requests; others are better filled up beyond the mean than that. */
 export const OVERLOADED_UTILIZATION = 1;
-/** While one is overloaded, others are filled up to this utilization at least, also beyond the mean. */
-const FULL_UTILIZATION = 0.8;
+/** While any owner is overloaded, the others are filled to at least this utilization, even beyond the mean. */
+const MIN_TARGET_UTILIZATION_IN_OVERLOAD = 0.8;
 /**
- * Owners are brought to the mean of all, but not above this utilization. Under overload all are then overloaded
- * alike, and none rests while another refuses; filled up further they would only refuse, too. It is above 1
- * since callers that come back after a refusal are counted again.
+ * Owners are balanced towards the mean of all, but not above this utilization. Under overload all are then overloaded
+ * equally, and none is idle while another refuses requests; filled further, they would only refuse requests, too. It is
+ * above 1 since retries after a refusal are counted again.
  */
-const LARGEST_TARGET = 1.3;
-/** Measured speeds are believed within this factor of the mean; cold servers and few requests mislead. */
-const LARGEST_SLOWNESS = 2.5;
-/** Room below this is left, in slots: a request or two would fill it. */
+const MAX_TARGET_UTILIZATION = 1.3;
+/** Measured speeds are limited to this factor from the mean, since cold servers and small samples distort them. */
+const MAX_SLOWNESS = 2.5;
+/** Headroom below this is not used, in slots: one or two requests would fill it. */
 export const MIN_HEADROOM = 0.35;
 
-/** Takes into account that owners are of different speeds: the same keys fill a slow one more. */
+/** Relates the owners' loads to their speeds: the same keys use more of a slow owner than of a fast one. */
 export function balanceLoads(owners: readonly OwnerLoad[]): BalancedLoad[] {
   const times = owners
     .map(({ serviceMs }) => serviceMs)
@@ -79,8 +83,8 @@
       estimateDeviation({ load: utilization * slots, serviceMs }) / slots;
     const measured = serviceMs > 0 ? serviceMs / meanMs : 1;
     const slowness = Math.min(
-      LARGEST_SLOWNESS,
-      Math.max(1 / LARGEST_SLOWNESS, measured),
+      MAX_SLOWNESS,
+      Math.max(1 / MAX_SLOWNESS, measured),
     );
     return {
       daemon,
@@ -92,7 +96,7 @@
   });
 }
 
-/** The utilization of all if each had work as it can do it, within the bound. */
+/** The utilization of all owners if work were divided by capacity, within the bounds. */
 export function findTargetUtilization(owners: readonly BalancedLoad[]): number {
   const capacity = owners.reduce((sum, owner) => sum + owner.capacity, 0);
   const work = owners.reduce(
@@ -103,16 +107,21 @@
   const isOverloaded = owners.some(({ utilization }) =>
     utilization > OVERLOADED_UTILIZATION
   );
-  const least = isOverloaded ? FULL_UTILIZATION : mean;
-  return Math.min(LARGEST_TARGET, Math.max(mean, least));
+  const minimum = isOverloaded ? MIN_TARGET_UTILIZATION_IN_OVERLOAD : mean;
+  return Math.min(MAX_TARGET_UTILIZATION, Math.max(mean, minimum));
 }
 
 /**
- * Lays what all givers have too much, and the room of all takers, side by side in the order of their names, and
- * returns what lies beside the giver's own part. All daemons find nearly the same, so no room is given twice.
+ * Allocates headroom of recipients to one source.
+ *
+ * The excesses of all hot owners and the headrooms of all recipients are each laid out as consecutive intervals, in the
+ * order of the owners' names; the source gets the parts of the headrooms that overlap its own excess. All daemons compute
+ * nearly the same layout, so no headroom is allocated twice.
+ *
+ * @param fleet all owners, the target utilization, and the owners without keys.
  */
 export function allocateHeadroom(
-  giver: BalancedLoad,
+  source: BalancedLoad,
   fleet: {
     owners: readonly BalancedLoad[];
     target: number;
@@ -120,55 +129,58 @@
   },
 ): MoveAllocation[] {
   const { owners, target, keyless } = fleet;
-  const isNewcomerThere = owners.some(({ daemon }) => keyless.has(daemon));
+  const hasKeylessOwner = owners.some(({ daemon }) => keyless.has(daemon));
   const excessOf = (owner: BalancedLoad) =>
-    isHot(owner, { target, isNewcomerThere })
+    isHot(owner, { target, hasKeylessOwner })
       ? (owner.utilization - target) * owner.capacity
       : 0;
-  const roomOf = ({ daemon, utilization, capacity }: BalancedLoad) => {
-    const room = (target - utilization) * capacity;
-    const isTaker = !isNewcomerThere || keyless.has(daemon);
-    return isTaker && room >= MIN_HEADROOM ? room : 0;
+  const headroomOf = ({ daemon, utilization, capacity }: BalancedLoad) => {
+    const headroom = (target - utilization) * capacity;
+    const isRecipient = !hasKeylessOwner || keyless.has(daemon);
+    return isRecipient && headroom >= MIN_HEADROOM ? headroom : 0;
   };
   const excesses = layOut(owners, excessOf);
-  const rooms = layOut(owners, roomOf);
-  const own = excesses.parts.find(({ owner }) => owner === giver)!;
-  // Where there is less room than is wanted, each giver gets its part of it.
-  const granted = Math.min(1, rooms.total / (excesses.total || 1));
-  return rooms.parts.map(({ owner, from, to }) => {
-    const start = Math.max(own.from * granted, from);
-    const end = Math.min(own.to * granted, to);
-    return { taker: owner, amount: Math.max(0, end - start) };
+  const headrooms = layOut(owners, headroomOf);
+  const own = excesses.intervals.find(({ owner }) => owner === source)!;
+  // Where the headroom does not suffice, each source gets the same fraction of its excess.
+  const allocatedFraction = Math.min(
+    1,
+    headrooms.total / (excesses.total || 1),
+  );
+  return headrooms.intervals.map(({ owner, from, to }) => {
+    const start = Math.max(own.from * allocatedFraction, from);
+    const end = Math.min(own.to * allocatedFraction, to);
+    return { recipient: owner, amount: Math.max(0, end - start) };
   }).filter(({ amount }) => amount > 0);
 }
 
 function isHot(
   { utilization, deviation }: BalancedLoad,
-  fleet: { target: number; isNewcomerThere: boolean },
+  fleet: { target: number; hasKeylessOwner: boolean },
 ): boolean {
-  const { target, isNewcomerThere } = fleet;
-  const least = Math.max(WORTHWHILE_EXCESS, CERTAIN_DEVIATIONS * deviation);
-  return isNewcomerThere
-    ? utilization > Math.max(SHARING_UTILIZATION, target)
-    : utilization > HOT_UTILIZATION && utilization - target > least;
+  const { target, hasKeylessOwner } = fleet;
+  const minExcess = Math.max(MIN_EXCESS, MIN_EXCESS_DEVIATIONS * deviation);
+  return hasKeylessOwner
+    ? utilization > Math.max(KEYLESS_SHARING_UTILIZATION, target)
+    : utilization > HOT_UTILIZATION && utilization - target > minExcess;
 }
 
-/** Lays the owners' lengths end to end, in the order of their names. */
+/** Lays out one interval per owner end to end, in the order of the owners' names. */
 function layOut(
   owners: readonly BalancedLoad[],
   lengthOf: (owner: BalancedLoad) => number,
 ): {
-  parts: { owner: BalancedLoad; from: number; to: number }[];
+  intervals: { owner: BalancedLoad; from: number; to: number }[];
   total: number;
 } {
   const ordered = owners.toSorted((left, right) =>
     left.daemon < right.daemon ? -1 : 1
   );
   let total = 0;
-  const parts = ordered.map((owner) => {
+  const intervals = ordered.map((owner) => {
     const from = total;
     total += lengthOf(owner);
     return { owner, from, to: total };
   });
-  return { parts, total };
+  return { intervals, total };
 }
--- a/packages/keyspace/src/choose_arbiters.ts
+++ b/packages/keyspace/src/choose_arbiters.ts
@@ -1,12 +1,12 @@
 /**
- * Decides which daemons are arbiters of the ownership of a service.
+ * Chooses the daemons that are arbiters of the ownership of a service.
  *
  * @module
  */
 
 /**
- * How many there are. With one, its loss would make each takeover wait for the longest tenure; with more, an
- * outage of the store is survived only if more daemons live.
+ * Number of arbiters. With one, its loss would make each takeover wait for the maximum ownership lease; with more, more
+ * daemons would have to be up for ownership to survive an outage of the store.
  */
 const ARBITER_COUNT = 2;
 
@@ -14,15 +14,17 @@
 export interface ArbiterCandidate {
   readonly daemon: string;
   readonly availabilityZone: string;
-  /** Whether its backend server owns keys: then it may be the one that is to be taken over. */
+  /** Whether its backend server owns keys, in which case it may be the owner that has to be taken over. */
   readonly isOwner: boolean;
-  /** Whether it reaches the store; one that does not can promise, but take nobody over. */
+  /** Whether it reaches the store; one that does not can make promises, but can't take an owner over. */
   readonly reachesStore: boolean;
 }
 
 /**
- * Chooses arbiters: those who are it and live stay, since a new one is of use only after the longest tenure; the
- * others are daemons without keys, each in a zone of its own, as far as there are such.
+ * Chooses arbiters. Present arbiters that are still candidates stay, since a new one is of use only after the maximum
+ * ownership lease. The others are daemons without keys, each in an availability zone of its own, as far as possible.
+ *
+ * @returns the chosen daemons: fewer than `ARBITER_COUNT` where there are not enough candidates.
  */
 export function chooseArbiters(
   present: readonly string[],
@@ -48,11 +50,11 @@
   chosen: readonly ArbiterCandidate[],
   ordered: readonly ArbiterCandidate[],
 ): ArbiterCandidate | undefined {
-  const free = ordered.filter((candidate) =>
+  const eligible = ordered.filter((candidate) =>
     candidate.reachesStore && !chosen.includes(candidate)
   );
   const zones = new Set(chosen.map(({ availabilityZone }) => availabilityZone));
-  return free.find(({ isOwner, availabilityZone }) =>
+  return eligible.find(({ isOwner, availabilityZone }) =>
     !isOwner && !zones.has(availabilityZone)
-  ) ?? free[0];
+  ) ?? eligible[0];
 }
--- a/packages/keyspace/src/grant_tracker.ts
+++ b/packages/keyspace/src/grant_tracker.ts
@@ -1,5 +1,5 @@
 /**
- * What the backend server beside a daemon holds, may hold and has given back.
+ * Tracks which keys the backend server beside a daemon holds, may hold and has given back.
  *
  * @module
  */
@@ -14,15 +14,15 @@
 import { CLOCK_DRIFT } from "./ownership_lease.ts";
 
 /**
- * Fencing tokens are a revision of the store times this, plus how many incarnations of the backend
- * server came since: a revision that a daemon has seen is higher than all tokens of earlier owners, and
- * a new incarnation needs no call to the store, so it is granted keys in an outage too.
+ * A fencing token is a revision of the store times this, plus the number of incarnations of the backend server since
+ * that revision. A revision that a daemon has read is higher than all tokens of earlier owners, and a new incarnation
+ * needs no call to the store, so it is granted keys in an outage of the store, too.
  */
 const INCARNATIONS_PER_REVISION = 1_024;
 
 /**
- * The usual hold, in milliseconds: long enough to outlast a restart of the daemon (about 2 s) and a late
- * heartbeat; short enough that the keys of a silent backend server are free within seconds.
+ * Default hold, in milliseconds: long enough to outlast a restart of the daemon (about 2 s) and a late heartbeat; short
+ * enough that the keys of an unresponsive backend server are free within seconds.
  */
 export const DEFAULT_HOLD_MS = 5_000;
 
@@ -41,10 +41,10 @@
   readonly handover: string;
 }
 
-/** What a heartbeat is answered with. */
+/** The response to a heartbeat. */
 export interface Grant {
   readonly ranges: readonly GrantedRange[];
-  /** How long the grant holds from when the heartbeat was sent, in milliseconds. */
+  /** How long the grant is valid from when the heartbeat was sent, in milliseconds. */
   readonly holdMs: number;
 }
 
@@ -53,69 +53,69 @@
   readonly handover: string;
 }
 
-/** The keys of one backend server, as the daemon beside it keeps them. */
+/** The keys of one backend server, as tracked by the daemon beside it. */
 export class GrantTracker {
-  /** Ranges that belong to the backend server by the store, with the token of each. */
+  /** Ranges that the store assigns to the backend server, with the token of each. */
   private readonly tokens = RangeMap.create<Token>((left, right) =>
     left.token === right.token && left.handover === right.handover
   );
-  /** Until when the backend server may still hold a range, on the daemon's clock, at the longest. */
+  /** Latest time until which the backend server may hold a range, on the daemon's clock. */
   private readonly mayHoldUntil = RangeMap.create<number>();
-  /** Until when the backend server surely holds a range, as far as heartbeats show. */
+  /** Time until which the backend server certainly holds a range, according to its heartbeats. */
   private readonly holdsUntil = RangeMap.create<number>();
-  /** Ranges that are being given up; they are not granted until the store gives them back. */
+  /** Ranges that are being released; they are not granted until the store assigns them again. */
   private readonly releasing = RangeMap.create<true>();
-  /** Whether a grant went out to the present incarnation. */
+  /** Whether the current incarnation has been granted any range. */
   private hasGranted = false;
   private incarnations = 0;
-  /** Whether a record has shown a seal on the daemon since its right was last confirmed. */
+  /** Whether a record has shown a seal on the daemon since its lease was last confirmed. */
   private wasSealed = false;
 
   private constructor() {}
 
   /**
-   * Creates a book without keys.
+   * Creates a tracker without own keys.
    *
-   * An earlier process of this daemon may have granted any keys until just before; without a word from
-   * the backend server they count as held until such a grant has run out.
+   * An earlier process of this daemon may have granted any keys until just before. Unless the backend server reports
+   * otherwise, they count as held until such a grant has expired.
    */
   static create(nowMs: number): GrantTracker {
-    const book = new GrantTracker();
-    book.extend(
+    const tracker = new GrantTracker();
+    tracker.extend(
       { from: 0, to: KEY_COUNT - 1 },
       nowMs + DEFAULT_HOLD_MS * (1 + CLOCK_DRIFT),
     );
-    return book;
+    return tracker;
   }
 
   /**
-   * Takes over what a record says of the daemon's own ranges.
+   * Applies the daemon's own ranges in a record.
    *
-   * @param revision a revision of the store that is at least the record's and higher than any that an
-   *   earlier process of this daemon can have used for tokens.
+   * @param own `revision`: a revision of the store that is at least the record's and higher than any that an earlier
+   *   process of this daemon can have used for tokens.
    */
   applyRecord(
     record: OwnershipRecord,
     own: { daemon: string; revision: number },
   ): void {
     this.wasSealed ||= record.isSealed(own.daemon);
-    const mine = RangeMap.create<string>();
+    const assigned = RangeMap.create<string>();
     record.rangesOf(own.daemon).forEach((segment) =>
-      mine.set(segment, segment.value.handover)
+      assigned.set(segment, segment.value.handover)
     );
     this.tokens.segments
-      .flatMap((segment) => mine.gaps(segment))
+      .flatMap((segment) => assigned.gaps(segment))
       .forEach((range) => {
         this.tokens.delete(range);
         this.releasing.delete(range);
         this.holdsUntil.delete(range);
       });
     if (record.isRestored) {
-      // Whoever had the other ranges by what the store has lost may still hold them.
+      // The owners of the other ranges in the lost record may still hold them.
       return;
     }
     const token = own.revision * INCARNATIONS_PER_REVISION + this.incarnations;
-    mine.segments.forEach((segment) =>
+    assigned.segments.forEach((segment) =>
       this.tokens.gaps(segment).forEach((range) =>
         this.tokens.set(range, { token, handover: segment.value })
       )
@@ -123,11 +123,12 @@
   }
 
   /**
-   * A read of the record has confirmed the daemon's right. If it had lapsed before, or the daemon was sealed, its keys
-   * may have been another owner's for a while, in records that it has missed. They get tokens above those: with
-   * its former ones, the backend server would take keys with tokens below the other owner's.
+   * Handles a read of the record that has confirmed the daemon's lease. If the lease had expired before, or the daemon
+   * was sealed, its keys may have belonged to another owner for a while, in records that it has not read. They get tokens
+   * above those of that owner: with the former tokens, the backend server would take keys with tokens below the other
+   * owner's.
    *
-   * @param read the revision that was read, and whether the right had lapsed by then.
+   * @param read the revision that was read, and whether the lease had expired by then.
    */
   recordConfirmation(read: { revision: number; hasExpired: boolean }): void {
     const { revision, hasExpired } = read;
@@ -137,16 +138,16 @@
       return;
     }
     const token = revision * INCARNATIONS_PER_REVISION + this.incarnations;
-    this.tokens.replace((known) =>
-      known.token < token ? { token, handover: "" } : known
+    this.tokens.replace((current) =>
+      current.token < token ? { token, handover: "" } : current
     );
   }
 
   /**
-   * A new incarnation of the backend server is there.
+   * Handles a new incarnation of the backend server.
    *
-   * @param isProved whether the earlier one has certainly ended, and with it all that it held. Without proof its
-   *   grants count until they have run out: if it lived on, another owner would hold the same keys.
+   * @param isProved whether the previous one has certainly ended, and with it all its holds. Without proof its grants
+   *   count until they have expired: if it still ran, another owner would hold the same keys.
    */
   recordNewIncarnation(isProved: boolean): void {
     this.incarnations += 1;
@@ -158,22 +159,22 @@
     this.tokens.replace(({ token }) => ({ token: token + 1, handover: "" }));
   }
 
-  /** A backend server of another service is at the address: no key is its own. */
+  /** Removes all keys: the backend server at the address belongs to another service. */
   clearKeys(): void {
     this.tokens.clear();
     this.releasing.clear();
     this.recordProcessEnd();
   }
 
-  /** The backend server's process has certainly ended, and with it all that it held. */
+  /** Records that the backend server's process has certainly ended, and with it all its holds. */
   recordProcessEnd(): void {
     this.mayHoldUntil.clear();
     this.holdsUntil.clear();
   }
 
   /**
-   * Takes over the tokens that a backend server reports after a restart of this daemon: the same
-   * incarnation goes on holding the same keys, which a new token would make it take anew.
+   * Adopts the tokens that a backend server reports after a restart of this daemon: the same incarnation continues to
+   * hold the same keys, and a new token would make it acquire them again.
    */
   adoptTokens(held: readonly HeldRange[], nowMs: number): void {
     if (this.hasGranted) {
@@ -181,32 +182,32 @@
     }
     held.forEach((range) => {
       this.extend(range, nowMs + DEFAULT_HOLD_MS * (1 + CLOCK_DRIFT));
-      this.tokens.within(range).forEach((mine) =>
-        this.tokens.set(mine, { token: range.token, handover: "" })
+      this.tokens.within(range).forEach((own) =>
+        this.tokens.set(own, { token: range.token, handover: "" })
       );
     });
   }
 
   /**
-   * Takes over higher tokens than the own ones that the believed incarnation reports. It was granted them by an
-   * earlier process of this daemon of which a held-back heartbeat told an older state, and would refuse each
-   * grant with a lower one for good.
+   * Adopts tokens that the current incarnation reports and that are higher than the tracked ones. It was granted them by
+   * an earlier process of this daemon, while a delayed heartbeat reported an older state; it would permanently refuse
+   * grants with lower tokens.
    */
   raiseTokens(held: readonly HeldRange[]): void {
     held.forEach((range) =>
       this.tokens.within(range)
         .filter(({ value }) => value.token < range.token)
-        .forEach((mine) =>
-          this.tokens.set(mine, { token: range.token, handover: "" })
+        .forEach((own) =>
+          this.tokens.set(own, { token: range.token, handover: "" })
         )
     );
   }
 
   /**
-   * Decides what a heartbeat is answered with.
+   * Creates the grant for the response to a heartbeat.
    *
-   * @param limits `longestHoldMs`: how long the daemon's own right lasts, on the backend server's clock
-   *   from the heartbeat's arrival; `spentMs`: for how long the answer was held back since.
+   * @param limits `maxHoldMs`: the remaining time of the daemon's lease, on the backend server's clock from the
+   *   heartbeat's arrival; `processingMs`: time from the heartbeat's arrival to the response.
    */
   createGrant(
     limits: { maxHoldMs: number; nowMs: number; processingMs: number },
@@ -223,8 +224,9 @@
   }
 
   /**
-   * Notes ranges that the backend server says it has given back; returns those that were asked for and
-   * may be given to another owner now.
+   * Records ranges that the backend server has reported as given back.
+   *
+   * @returns the parts that are being released and may be assigned to another owner now.
    */
   recordFreed(freed: readonly FreedRange[]): FreedRange[] {
     return freed.flatMap((range) => {
@@ -238,7 +240,7 @@
     });
   }
 
-  /** Gives ranges up: they are left out of all grants until the store says they are the daemon's anew. */
+  /** Begins to release ranges: they are left out of all grants until the store assigns them to the daemon again. */
   beginRelease(ranges: readonly KeyRange[]): void {
     ranges.forEach((range) => {
       this.releasing.set(range, true);
@@ -246,53 +248,55 @@
     });
   }
 
-  /** A release was confirmed not to have happened: the ranges are granted again. */
+  /** Cancels a release that has certainly not reached the store: the ranges are granted again. */
   cancelRelease(ranges: readonly KeyRange[]): void {
     ranges.forEach((range) => this.releasing.delete(range));
   }
 
-  /** Ranges that are being given up and that the backend server can't hold any more. */
+  /** Ranges that are being released and that the backend server can no longer hold. */
   findReleased(nowMs: number): KeyRange[] {
     return this.releasing.segments.flatMap((segment) =>
-      this.freeParts(segment, nowMs)
+      this.unheldParts(segment, nowMs)
     );
   }
 
-  /** Own ranges that the backend server can't hold any more without a new grant. */
+  /** Own ranges that the backend server can no longer hold without a new grant. */
   findExpired(nowMs: number): KeyRange[] {
     return this.tokens.segments.flatMap((segment) =>
-      this.freeParts(segment, nowMs)
+      this.unheldParts(segment, nowMs)
     );
   }
 
-  /** Whether a key is the backend server's own and not being given up. */
+  /** Whether a key belongs to the backend server and is not being released. */
   owns(key: number): boolean {
     return this.tokens.get(key) !== undefined &&
       this.releasing.get(key) === undefined;
   }
 
-  /** Whether the backend server holds a key now, as far as the daemon knows. */
+  /** Whether the backend server certainly holds a key now. */
   holds(key: number, nowMs: number): boolean {
     return (this.holdsUntil.get(key) ?? -Infinity) > nowMs;
   }
 
-  /** For how long the backend server surely holds something, in milliseconds; 0 where it may hold nothing. */
+  /** For how long the backend server certainly holds any key, in milliseconds; 0 where it may hold none. */
   remainingHoldMs(nowMs: number): number {
-    const ends = this.holdsUntil.segments.map(({ value }) => value - nowMs);
-    return Math.max(0, ...ends);
+    const remainingMs = this.holdsUntil.segments.map(({ value }) =>
+      value - nowMs
+    );
+    return Math.max(0, ...remainingMs);
   }
 
-  /** Whether anything is being given up. */
+  /** Whether any range is being released. */
   get isReleasing(): boolean {
     return this.releasing.segments.length > 0;
   }
 
-  /** The ranges that are the backend server's own and not being given up. */
+  /** The ranges that belong to the backend server and are not being released. */
   get ownRanges(): KeyRange[] {
     return this.grantable().map(({ from, to }) => ({ from, to }));
   }
 
-  /** How many keys are the backend server's own. */
+  /** Number of keys that belong to the backend server and are not being released. */
   get ownKeyCount(): number {
     return this.ownRanges.reduce((sum, range) => sum + sizeOf(range), 0);
   }
@@ -307,7 +311,7 @@
     );
   }
 
-  private freeParts(range: KeyRange, nowMs: number): KeyRange[] {
+  private unheldParts(range: KeyRange, nowMs: number): KeyRange[] {
     const held = RangeMap.create<true>();
     this.mayHoldUntil.within(range)
       .filter(({ value }) => value > nowMs)
@@ -315,12 +319,12 @@
     return held.gaps(range);
   }
 
-  /** The backend server may hold a range until then, or longer by an earlier grant. */
-  private extend(range: KeyRange, untilMs: number): void {
+  /** Extends the time until which the backend server may hold a range, without shortening that of an earlier grant. */
+  private extend(range: KeyRange, expiresAtMs: number): void {
     const earlier = this.mayHoldUntil.within(range);
-    this.mayHoldUntil.set(range, untilMs);
+    this.mayHoldUntil.set(range, expiresAtMs);
     earlier
-      .filter(({ value }) => value > untilMs)
+      .filter(({ value }) => value > expiresAtMs)
       .forEach((segment) => this.mayHoldUntil.set(segment, segment.value));
   }
 }
--- a/packages/keyspace/src/incarnation_tracker.ts
+++ b/packages/keyspace/src/incarnation_tracker.ts
@@ -1,106 +1,106 @@
 /**
- * Tells apart the incarnations of the backend server beside a daemon.
+ * Distinguishes the incarnations of the backend server beside a daemon.
  *
  * @module
  */
 
 /**
- * One process of a backend server. A server that starts again may keep its id, so the id alone names none.
+ * One process of a backend server. A server that restarts may keep its id, so the id alone does not identify a process.
  */
 export interface Incarnation {
   readonly instance: string;
   /**
-   * When the process started, in Unix milliseconds by the clock of its host; `undefined` where servers don't tell.
-   * That clock steps, so the figure names a process and does not order two of them.
+   * When the process started, in Unix milliseconds by the clock of its host; `undefined` where servers don't report it.
+   * That clock may step, so the value identifies a process but does not order two of them.
    */
   readonly born: number | undefined;
 }
 
-/** What a heartbeat says of its sender. */
+/** What a heartbeat reports about its sender. */
 export interface Heartbeat extends Incarnation {
-  /** Grows with each heartbeat of one incarnation. */
+  /** Increases with each heartbeat of one incarnation. */
   readonly sequence: number;
 }
 
-/** How a heartbeat is to be taken. */
+/** How a heartbeat is classified. */
 export type HeartbeatStatus =
-  /** From the known incarnation. */
+  /** From the current incarnation. */
   | { readonly kind: "current" }
   /** Overtaken by a later one, or from an incarnation that has certainly ended. */
   | { readonly kind: "late" }
-  /** From another incarnation; ask at the address who is there. */
+  /** From another incarnation; to be verified by a probe of the address. */
   | { readonly kind: "unverified" };
 
-/** Who answers at the backend server's address. */
+/** Which process responds at the backend server's address. */
 export type ProbeResult =
   | ({ readonly kind: "answered" } & Incarnation)
-  /** Nobody listens there. */
+  /** The connection was refused. */
   | { readonly kind: "refused" }
-  /** No word came in time. */
+  /** No response was received within the timeout. */
   | { readonly kind: "silent" };
 
-/** Whether the sender of a heartbeat has taken the place of the known incarnation. */
+/** Whether the sender of a heartbeat has replaced the current incarnation. */
 export type Succession =
-  /** It has, and the former process has certainly ended. */
+  /** It has, and the previous process has certainly ended. */
   | "proved"
-  /** It is the better guess, and the former process may still run. */
+  /** It probably has, but the previous process may still run. */
   | "assumed"
   | "rejected";
 
-/** How long the known incarnation must have been silent before another one is believed without proof. */
+/** How long the current incarnation must have sent no heartbeat before another one is accepted without proof. */
 export interface SuccessionTimeouts {
   /**
-   * Where somebody with the same id answers, in milliseconds. A living server sends its next heartbeat sooner, so a
-   * heartbeat of an earlier process that was held back displaces nobody.
+   * Where a process with the same id responds, in milliseconds. A running server sends its next heartbeat sooner, so a
+   * delayed heartbeat of an earlier process does not displace it.
    */
   readonly overdueMs: number;
-  /** Where nobody answers, in milliseconds. */
+  /** Where no process responds, in milliseconds. */
   readonly unresponsiveMs: number;
 }
 
-/** So many ended incarnations are remembered; heartbeats are held back for seconds, restarts take as long. */
-const ENDED_COUNT = 8;
+/** Number of ended incarnations that are kept; heartbeats are delayed for seconds, and restarts take as long. */
+const MAX_ENDED_INCARNATIONS = 8;
 
 /**
- * The incarnation that is believed to run.
+ * Tracks the current incarnation.
  *
- * What goes wrong without it: a heartbeat that a network cut held back arrives after its sender has
- * crashed and a new incarnation has registered at the same address. Taken at face value it would
- * displace the living one: keys would be granted to a process that is gone, and the requests for them
- * refused by the one that is there. Or the new process has the id of the old one: its heartbeats would be dropped as
- * late until its count has passed the old one's, and from then on it would be believed to hold what it has lost.
+ * Without it, a heartbeat that a network partition delayed could arrive after its sender has crashed and a new
+ * incarnation has registered at the same address. Accepted without a check, it would displace the running process: keys
+ * would be granted to a process that has ended, and requests for them refused by the one that runs. Or the new process
+ * has the id of the old one: its heartbeats would be dropped as late until its sequence number has passed the old one's,
+ * and from then on it would be assumed to hold keys that it has lost.
  */
 export class IncarnationTracker {
-  private known: Heartbeat | undefined;
-  private heardAtMs = -Infinity;
+  private lastHeartbeat: Heartbeat | undefined;
+  private receivedAtMs = -Infinity;
   private ended: readonly Incarnation[] = [];
 
   private constructor() {}
 
-  /** Creates a book that knows no incarnation. */
+  /** Creates a tracker without a current incarnation. */
   static create(): IncarnationTracker {
     return new IncarnationTracker();
   }
 
-  /** The incarnation that is believed to run. */
+  /** The incarnation that is assumed to run. */
   get current(): Incarnation | undefined {
-    return this.known;
+    return this.lastHeartbeat;
   }
 
-  /** When it was last heard, on the daemon's clock. */
+  /** When its last heartbeat was received, on the daemon's clock. */
   get lastHeartbeatMs(): number {
-    return this.heardAtMs;
+    return this.receivedAtMs;
   }
 
-  /** Whether an incarnation is the one that is believed to run. */
+  /** Whether an incarnation is the current one. */
   isCurrent(incarnation: Incarnation): boolean {
-    return this.known !== undefined &&
-      isSameIncarnation(incarnation, this.known);
+    return this.lastHeartbeat !== undefined &&
+      isSameIncarnation(incarnation, this.lastHeartbeat);
   }
 
-  /** Judges a heartbeat. The first one ever is believed: there is nobody it could displace. */
+  /** Classifies a heartbeat. The first one is always current, since there is no incarnation that it could displace. */
   classify(heartbeat: Heartbeat): HeartbeatStatus {
-    if (this.known === undefined) {
+    if (this.lastHeartbeat === undefined) {
       return { kind: "current" };
     }
     if (
@@ -110,63 +110,66 @@
     ) {
       return { kind: "late" };
     }
-    if (!isSameIncarnation(heartbeat, this.known)) {
+    if (!isSameIncarnation(heartbeat, this.lastHeartbeat)) {
       return { kind: "unverified" };
     }
-    return heartbeat.sequence > this.known.sequence
+    return heartbeat.sequence > this.lastHeartbeat.sequence
       ? { kind: "current" }
       : { kind: "late" };
   }
 
   /**
-   * Judges an unverified heartbeat by who answers at the address.
+   * Classifies an unverified heartbeat by the result of a probe of the address.
    *
-   * @param arrivedMs when the heartbeat arrived, on the daemon's clock.
+   * @param limits `arrivedMs`: when the heartbeat arrived, on the daemon's clock.
    */
   classifySuccession(
     heartbeat: Heartbeat,
-    found: ProbeResult,
+    probed: ProbeResult,
     limits: SuccessionTimeouts & { readonly arrivedMs: number },
   ): Succession {
-    const quietMs = limits.arrivedMs - this.heardAtMs;
-    const isQuiet = quietMs > limits.unresponsiveMs;
-    if (found.kind === "refused") {
-      return isQuiet ? "proved" : "rejected";
+    const sinceHeartbeatMs = limits.arrivedMs - this.receivedAtMs;
+    const isUnresponsive = sinceHeartbeatMs > limits.unresponsiveMs;
+    if (probed.kind === "refused") {
+      return isUnresponsive ? "proved" : "rejected";
     }
-    if (found.kind === "silent") {
-      return isQuiet ? "assumed" : "rejected";
+    if (probed.kind === "silent") {
+      return isUnresponsive ? "assumed" : "rejected";
     }
-    if (found.instance !== heartbeat.instance) {
+    if (probed.instance !== heartbeat.instance) {
       return "rejected";
     }
-    if (found.born !== undefined && heartbeat.born !== undefined) {
-      return found.born === heartbeat.born ? "proved" : "rejected";
+    if (probed.born !== undefined && heartbeat.born !== undefined) {
+      return probed.born === heartbeat.born ? "proved" : "rejected";
     }
-    if (heartbeat.instance !== this.known?.instance) {
+    if (heartbeat.instance !== this.lastHeartbeat?.instance) {
       return "proved";
     }
-    return quietMs > limits.overdueMs ? "assumed" : "rejected";
+    return sinceHeartbeatMs > limits.overdueMs ? "assumed" : "rejected";
   }
 
-  /** Notes a heartbeat that was judged current. */
+  /** Records a heartbeat that was classified as current. */
   accept(heartbeat: Heartbeat, nowMs: number): void {
-    this.known = heartbeat;
-    this.heardAtMs = nowMs;
+    this.lastHeartbeat = heartbeat;
+    this.receivedAtMs = nowMs;
   }
 
-  /** Notes a heartbeat of another incarnation than the known one. */
+  /** Records a heartbeat of an incarnation that has replaced the current one. */
   acceptSuccessor(
     heartbeat: Heartbeat,
-    end: { readonly succession: Succession; readonly nowMs: number },
+    change: { readonly succession: Succession; readonly nowMs: number },
   ): void {
-    if (this.known !== undefined && end.succession === "proved") {
-      this.ended = [this.known, ...this.ended].slice(0, ENDED_COUNT);
+    if (this.lastHeartbeat !== undefined && change.succession === "proved") {
+      this.ended = [this.lastHeartbeat, ...this.ended].slice(
+        0,
+        MAX_ENDED_INCARNATIONS,
+      );
     }
-    this.accept(heartbeat, end.nowMs);
+    this.accept(heartbeat, change.nowMs);
   }
 }
 
-/** Whether two names are those of one process. */
+/** Whether two identities are those of one process. */
 export function isSameIncarnation(
   left: Incarnation,
   right: Incarnation,
--- a/packages/keyspace/src/load_profile.ts
+++ b/packages/keyspace/src/load_profile.ts
@@ -1,26 +1,25 @@
 /**
- * How much work the keys of one backend server bring, and which of them to move.
+ * Measures how much work the keys of one backend server cause, and finds keys to move.
  *
  * @module
  */
 import { KEY_COUNT, type KeyRange, sizeOf } from "./range_map.ts";
 
 /**
- * The profile forgets half of what it has seen in this time, in milliseconds: keys turn hot within a
- * second and stay so for a few.
+ * Half-life of recorded work, in milliseconds: keys become hot within a second and stay hot for a few.
  */
 const HALF_LIFE_MS = 1_000;
-/** Work is not extrapolated from less than this, in milliseconds: a few requests say little. */
-const LEAST_SEEN_MS = 400;
-/** A window must bring this share of the wanted load. */
-const LEAST_SHARE = 0.7;
-/** From this weight on all sums are scaled back; a double holds far more. */
-const LARGEST_WEIGHT = 1e12;
+/** Work is not extrapolated from less than this time, in milliseconds: a few requests are not representative. */
+const MIN_OBSERVED_MS = 400;
+/** A window must carry at least this fraction of the wanted load. */
+const MIN_WINDOW_FRACTION = 0.7;
+/** From this weight on all sums are scaled back; a double holds far larger values. */
+const MAX_WEIGHT = 1e12;
 
 /**
- * How far a load may be off that is measured from requests at random moments: one standard deviation, in slots.
+ * Standard deviation of a load that is measured from requests at random moments, in slots.
  *
- * @param measured `load`: in slots; `serviceMs`: time of a request, in milliseconds.
+ * @param measured `load`: in slots; `serviceMs`: service time of a request, in milliseconds.
  */
 export function estimateDeviation(
   measured: { load: number; serviceMs: number },
@@ -29,24 +28,24 @@
   return Math.sqrt(load * serviceMs * Math.LN2 / 2 / HALF_LIFE_MS);
 }
 
-/** Neighbouring keys and what they bring. */
+/** A range of keys and its work. */
 interface Window extends KeyRange {
   readonly sum: number;
 }
 
-/** Work by key, as milliseconds of a slot for each second, decaying. */
+/** Exponentially decaying work by key, in milliseconds of slot time a second. */
 export class LoadProfile {
   private readonly sums = new Float64Array(KEY_COUNT);
   /**
-   * What is noted now counts so many times what was noted at first. Growing it is the same as letting
-   * all sums decay, without touching each of them.
+   * Weight of work that is recorded now, relative to work at the start. Increasing it has the same effect as decaying all
+   * sums, without an update of each of them.
    */
   private weight = 1;
-  /** All work, and the sum of its squares, decaying alike: they say how large a request is. */
+  /** All work and the sum of its squares, with the same decay; their ratio gives the size of a request. */
   private work = 0;
-  private squares = 0;
+  private squaredWork = 0;
   private decayedAtMs = 0;
-  private firstNotedMs: number | undefined;
+  private firstRecordedMs: number | undefined;
 
   private constructor() {}
 
@@ -55,34 +54,35 @@
     return new LoadProfile();
   }
 
-  /** Notes work for a key, in milliseconds of a slot. */
+  /** Records work for a key, in milliseconds of slot time. */
   record(key: number, workMs: number): void {
-    this.firstNotedMs ??= this.decayedAtMs;
+    this.firstRecordedMs ??= this.decayedAtMs;
     this.sums[key] = this.sums[key]! + workMs * this.weight;
     this.work += workMs;
-    this.squares += workMs * workMs;
+    this.squaredWork += workMs * workMs;
   }
 
   /**
-   * Takes over what another owner saw of keys that have come from it, in milliseconds of a slot a second. Without
-   * it an owner looks as cool as before for a second after it was given hot keys, and is given more.
+   * Applies the load that the previous owner measured for keys that were moved from it, in milliseconds of slot time a
+   * second. Without it, an owner would appear as little loaded as before for a second after it has received hot keys, and
+   * would be sent more.
    */
   seed(range: KeyRange, load: number): void {
-    const each = this.toSum(load) / sizeOf(range);
+    const perKey = this.toSum(load) / sizeOf(range);
     for (let key = range.from; key <= range.to; key += 1) {
-      this.sums[key] = each;
+      this.sums[key] = perKey;
     }
   }
 
-  /** Forgets old work. */
+  /** Decays recorded work to the given time. */
   decay(nowMs: number): void {
-    const passedMs = nowMs - this.decayedAtMs;
+    const elapsedMs = nowMs - this.decayedAtMs;
     this.decayedAtMs = nowMs;
-    const growth = 2 ** (passedMs / HALF_LIFE_MS);
+    const growth = 2 ** (elapsedMs / HALF_LIFE_MS);
     this.weight *= growth;
     this.work /= growth;
-    this.squares /= growth;
-    if (this.weight > LARGEST_WEIGHT) {
+    this.squaredWork /= growth;
+    if (this.weight > MAX_WEIGHT) {
       const { weight } = this;
       this.sums.forEach((sum, key) => {
         this.sums[key] = sum / weight;
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Work for the keys of ranges, in milliseconds of a slot a second. */
+  /** Work for the keys of ranges, in milliseconds of slot time a second. */
   loadOf(ranges: readonly KeyRange[]): number {
     let sum = 0;
     ranges.forEach(({ from, to }) => {
@@ -103,31 +103,34 @@
   }
 
   /**
-   * How far a load may be off by chance: one standard deviation, in slots.
+   * Standard deviation of a load's random error, in slots.
    *
-   * An owner of a large fleet sees a few requests a second. Even where all owners get the same, one sees twice of
-   * what its neighbour does, and a second later it is the other way round.
+   * An owner in a large fleet serves a few requests a second. Even where all owners have the same load, one may get twice
+   * as many requests as another, and the reverse a second later.
+   *
+   * @param load in slots.
    */
   standardDeviationOf(load: number): number {
-    const serviceMs = this.work === 0 ? 0 : this.squares / this.work;
-    const { remembered } = this;
-    // What has been remembered for a shorter time varies more.
+    const serviceMs = this.work === 0 ? 0 : this.squaredWork / this.work;
+    const { observedFraction } = this;
+    // A shorter observation has a larger variance.
     return estimateDeviation({ load, serviceMs }) *
-      Math.sqrt((2 - remembered) / remembered);
+      Math.sqrt((2 - observedFraction) / observedFraction);
   }
 
   /**
-   * Finds the fewest neighbouring keys among `ranges` that bring about `load`. Few keys with much work
-   * are cheap to move: what a move costs grows with the number of keys and not with their work.
+   * Finds the smallest window of adjacent keys among `ranges` that carries about `load`. Few keys with much work are
+   * cheap to move: the cost of a move grows with the number of keys and not with their work.
    *
-   * @returns `undefined` where no window brings nearly all of it, and not more.
+   * @param wanted `load`: in milliseconds of slot time a second.
+   * @returns `undefined` where no window carries at least `MIN_WINDOW_FRACTION` of the load and not more than all of it.
    */
-  findWindow(
+  findSmallestWindow(
     ranges: readonly KeyRange[],
     wanted: { load: number },
   ): KeyRange | undefined {
     return ranges.reduce<KeyRange | undefined>((best, range) => {
-      const found = this.findIn(range, wanted);
+      const found = this.findSmallestIn(range, wanted);
       return found === undefined ||
           best !== undefined && sizeOf(best) <= sizeOf(found)
         ? best
@@ -135,8 +138,8 @@
     }, undefined);
   }
 
-  /** The key among `ranges` that brings the most work. */
-  findHeaviest(ranges: readonly KeyRange[]): KeyRange | undefined {
+  /** Finds the key among `ranges` that causes the most work; `undefined` where none causes any. */
+  findHeaviestKey(ranges: readonly KeyRange[]): KeyRange | undefined {
     const key = ranges.reduce((best, { from, to }) => {
       const found = this.sums.subarray(from, to + 1).reduce(
         (heaviest, sum, index) =>
@@ -148,14 +151,18 @@
     return key < 0 ? undefined : { from: key, to: key };
   }
 
-  /** Finds neighbouring keys among `ranges` that bring as much as there is up to `load`. */
-  findLargest(
+  /**
+   * Finds the window of adjacent keys among `ranges` that carries the most work up to `load`.
+   *
+   * @param wanted `load`: in milliseconds of slot time a second.
+   */
+  findHeaviestWindow(
     ranges: readonly KeyRange[],
     wanted: { load: number },
   ): KeyRange | undefined {
-    const largest = this.toSum(wanted.load);
+    const maxSum = this.toSum(wanted.load);
     const windows = ranges.flatMap((range) =>
-      this.findLargestIn(range, largest) ?? []
+      this.findHeaviestIn(range, maxSum) ?? []
     );
     return windows.reduce<Window | undefined>(
       (best, window) =>
@@ -164,13 +171,13 @@
     );
   }
 
-  private findLargestIn(range: KeyRange, largest: number): Window | undefined {
+  private findHeaviestIn(range: KeyRange, maxSum: number): Window | undefined {
     let best: Window | undefined;
     let from = range.from;
     let sum = 0;
     for (let to = range.from; to <= range.to; to += 1) {
       sum += this.sums[to]!;
-      while (sum > largest && from <= to) {
+      while (sum > maxSum && from <= to) {
         sum -= this.sums[from]!;
         from += 1;
       }
@@ -181,23 +188,23 @@
     return best;
   }
 
-  /** Slides a window over a range; the smallest one with about the wanted load. */
-  private findIn(
+  /** Finds the smallest window in one range that carries about the wanted load, with a sliding window. */
+  private findSmallestIn(
     range: KeyRange,
     wanted: { load: number },
   ): KeyRange | undefined {
     let best: KeyRange | undefined;
     let from = range.from;
     let sum = 0;
-    const largest = this.toSum(wanted.load);
+    const maxSum = this.toSum(wanted.load);
     for (let to = range.from; to <= range.to; to += 1) {
       sum += this.sums[to]!;
-      while (sum > largest && from <= to) {
+      while (sum > maxSum && from <= to) {
         sum -= this.sums[from]!;
         from += 1;
       }
       const isShorter = best === undefined || to - from < best.to - best.from;
-      if (sum >= largest * LEAST_SHARE && from <= to && isShorter) {
+      if (sum >= maxSum * MIN_WINDOW_FRACTION && from <= to && isShorter) {
         best = { from, to };
       }
     }
@@ -206,28 +213,28 @@
 
   /** A sum that decays with a half-life is the rate times the half-life divided by ln 2. */
   private toRate(sum: number): number {
-    return sum / this.weight / this.memorySeconds;
+    return sum / this.weight / this.windowSeconds;
   }
 
   private toSum(rate: number): number {
-    return rate * this.weight * this.memorySeconds;
+    return rate * this.weight * this.windowSeconds;
   }
 
   /**
-   * The time whose work is in the sums, in seconds. It is shorter at first: without that, an owner that was
-   * given far too much at the start of the traffic would see a third of it after half a second, and shed in
-   * three rounds what can go in one.
+   * Effective time that the sums cover, in seconds. It is shorter at first: without that, an owner that received far too
+   * much work at the start of the traffic would measure a third of it after half a second, and would move keys away in
+   * three rounds rather than one.
    */
-  private get memorySeconds(): number {
-    return HALF_LIFE_MS / 1_000 / Math.LN2 * this.remembered;
+  private get windowSeconds(): number {
+    return HALF_LIFE_MS / 1_000 / Math.LN2 * this.observedFraction;
   }
 
-  /** The share of what a long-running owner would remember that this one can have seen. */
-  private get remembered(): number {
-    const { firstNotedMs, decayedAtMs } = this;
-    const seenMs = firstNotedMs === undefined
+  /** Fraction of the work that a long-running profile would cover and that this one can have observed. */
+  private get observedFraction(): number {
+    const { firstRecordedMs, decayedAtMs } = this;
+    const observedMs = firstRecordedMs === undefined
       ? Infinity
-      : Math.max(LEAST_SEEN_MS, decayedAtMs - firstNotedMs);
-    return 1 - 2 ** (-seenMs / HALF_LIFE_MS);
+      : Math.max(MIN_OBSERVED_MS, decayedAtMs - firstRecordedMs);
+    return 1 - 2 ** (-observedMs / HALF_LIFE_MS);
   }
 }
--- a/packages/keyspace/src/plan_assignment.ts
+++ b/packages/keyspace/src/plan_assignment.ts
@@ -1,5 +1,5 @@
 /**
- * Decides who gets ranges without an owner, and which ranges move from a hot owner to a cooler one.
+ * Decides which owners get keys without an owner, and when the keys of a new service are assigned for the first time.
  *
  * @module
  */
@@ -7,32 +7,33 @@
 import { type KeyRange, sizeOf } from "./range_map.ts";
 
 /**
- * The first assignment of a service waits at most so long for all its backend servers to announce
- * themselves, in milliseconds: they start one after the other, within seconds.
+ * Maximum time for which the first assignment of a service waits for all its backend servers to announce themselves, in
+ * milliseconds: they start one after the other, within seconds.
  */
-const FIRST_ASSIGNMENT_MS = 6_000;
+const FIRST_ASSIGNMENT_TIMEOUT_MS = 6_000;
 
-/** What a daemon sees of a service of which no key has had an owner yet. */
+/** What a daemon has observed of a service none of whose keys has had an owner yet. */
 export interface FirstAssignmentState {
-  /** Daemons that are known by name and were not heard yet. */
+  /** Daemons that are known by name and from which no message was received yet. */
   readonly unseenDaemons: number;
   /** Daemons beside a backend server of the service that has not announced itself yet. */
   readonly unannouncedBackends: number;
-  /** Backend servers that would take keys. */
+  /** Backend servers that can own keys. */
   readonly candidates: number;
-  /** How long the daemon has been running. */
+  /** How long the daemon has been running, in milliseconds. */
   readonly uptimeMs: number;
 }
 
 /**
- * Whether the keys of a service are given out for the first time. Given out to those that come first,
- * the later ones would have nothing, and the first ones would be overloaded until keys have moved, each
- * of them cold.
+ * Whether the keys of a service are to be assigned for the first time. If they were assigned to the servers that start
+ * first, the later ones would have no keys, and the first ones would be overloaded until keys have moved, each of them
+ * cold.
  */
-export function isFirstAssignmentDue(sight: FirstAssignmentState): boolean {
-  const { unseenDaemons, unannouncedBackends, candidates, uptimeMs } = sight;
+export function isFirstAssignmentDue(state: FirstAssignmentState): boolean {
+  const { unseenDaemons, unannouncedBackends, candidates, uptimeMs } = state;
   const isComplete = unseenDaemons === 0 && unannouncedBackends === 0;
-  return candidates > 0 && (isComplete || uptimeMs >= FIRST_ASSIGNMENT_MS);
+  return candidates > 0 &&
+    (isComplete || uptimeMs >= FIRST_ASSIGNMENT_TIMEOUT_MS);
 }
 
 /** A backend server that may own keys. */
@@ -43,48 +44,51 @@
 }
 
 /**
- * Gives each range without an owner to the candidates that are furthest below their share of keys.
+ * Assigns each range without an owner to the candidates with the largest deficit relative to their share of keys.
  *
- * @returns no assignment where there is no candidate.
+ * @returns no assignment where there is no candidate with a positive weight.
  */
 export function assignUnowned(
   record: OwnershipRecord,
   unowned: readonly KeyRange[],
   candidates: readonly Candidate[],
 ): Assignment[] {
-  const takers = candidates.filter(({ weight }) => weight > 0);
-  if (takers.length === 0) {
+  const eligible = candidates.filter(({ weight }) => weight > 0);
+  if (eligible.length === 0) {
     return [];
   }
-  const total = takers.reduce((sum, { weight }) => sum + weight, 0);
-  const held = new Map(
-    takers.map(({ daemon }) => [daemon, countKeys(record, daemon)]),
+  const totalWeight = eligible.reduce((sum, { weight }) => sum + weight, 0);
+  const owned = new Map(
+    eligible.map(({ daemon }) => [daemon, countKeys(record, daemon)]),
   );
-  const keys = [...held.values()].reduce((sum, count) => sum + count, 0) +
+  const keyCount = [...owned.values()].reduce((sum, count) => sum + count, 0) +
     unowned.reduce((sum, range) => sum + sizeOf(range), 0);
-  const room = new Map(
-    takers.map(({ daemon, weight }) => [
+  const deficits = new Map(
+    eligible.map(({ daemon, weight }) => [
       daemon,
-      (keys * weight) / total - (held.get(daemon) ?? 0),
+      (keyCount * weight) / totalWeight - (owned.get(daemon) ?? 0),
     ]),
   );
-  return unowned.flatMap((range) => divide(range, room));
+  return unowned.flatMap((range) => divideRange(range, deficits));
 }
 
-/** Cuts a range among the candidates with room, largest room first. */
-function divide(range: KeyRange, room: Map<string, number>): Assignment[] {
+/** Divides a range among the candidates by their deficits, largest deficit first, and updates the deficits. */
+function divideRange(
+  range: KeyRange,
+  deficits: Map<string, number>,
+): Assignment[] {
   const assignments: Assignment[] = [];
   let from = range.from;
   while (from <= range.to) {
-    const [daemon, space] = [...room].reduce((best, entry) =>
+    const [daemon, deficit] = [...deficits].reduce((best, entry) =>
       entry[1] > best[1] ? entry : best
     );
     const count = Math.min(
       range.to - from + 1,
-      Math.max(1, Math.round(space)),
+      Math.max(1, Math.round(deficit)),
     );
     assignments.push({ from, to: from + count - 1, daemon, handover: "" });
-    room.set(daemon, space - count);
+    deficits.set(daemon, deficit - count);
     from += count;
   }
   return assignments;
--- a/packages/keyspace/src/plan_rebalance.ts
+++ b/packages/keyspace/src/plan_rebalance.ts
@@ -1,8 +1,8 @@
 /**
- * Decides which keys a hot backend server sheds, and to whom.
+ * Decides which keys a hot backend server moves away, and to which owners.
  *
- * The loads it answers: a few neighbouring keys get a third of all requests within a second, while the
- * other backend servers have room; and one key gets more than any one server can do.
+ * It is designed for two kinds of load: a few adjacent keys get a third of all requests within a second while the other
+ * backend servers have headroom; and one key gets more requests than any one server can serve.
  *
  * @module
  */
@@ -19,48 +19,49 @@
 import type { LoadProfile } from "./load_profile.ts";
 import { type KeyRange, RangeMap } from "./range_map.ts";
 
-/** Share of the distance to the target that is moved at once, so that loads don't swap places. */
-const MOVED_SHARE = 0.8;
+/** Fraction of the allocated work that is moved at once, so that source and recipient don't swap loads. */
+const MOVED_FRACTION = 0.8;
 /** The same for an overloaded owner: it refuses requests until the last round of moves is done. */
-const MOVED_SHARE_OVERLOADED = 1;
+const MOVED_FRACTION_OVERLOADED = 1;
 /**
- * The least work that is worth a move, in milliseconds of a slot a second: a request or two. Below it the
- * profile shows chance and not load, and moves by chance cut the key space into single keys.
+ * Minimum work that is worth a move, in milliseconds of slot time a second: one or two requests. Below it the profile
+ * shows random variation rather than load, and moves by chance would split the key space into single keys.
  */
-const LEAST_MOVED_MS = MIN_HEADROOM * 1_000;
+const MIN_MOVED_WORK_MS = MIN_HEADROOM * 1_000;
 /**
- * A key is heavy from this share of what its owner can do. Below 1, since the profile lags: a key that has just
- * become hot would be noticed only after a round of other moves, a second later.
+ * A key is heavy from this fraction of its owner's capacity on. It is below 1 since the profile lags: a key that has just
+ * become hot would otherwise be detected only after a round of other moves, a second later.
  */
-const HEAVY_SHARE = 0.5;
-/** A heavy key moves only to an owner that then has at most this share of its owner's utilization. */
-const WORTHWHILE_RELIEF = 0.75;
+const HEAVY_KEY_FRACTION = 0.5;
+/** A heavy key moves only to an owner whose utilization with it is below this fraction of the source's. */
+const MAX_RELATIVE_UTILIZATION = 0.75;
 
 /** A move of keys to another owner. */
 export interface PlannedMove extends KeyRange {
   readonly daemon: string;
-  /** Work that the keys will bring there, in milliseconds of a slot a second. */
+  /** Work that the keys will cause there, in milliseconds of slot time a second. */
   readonly load: number;
 }
 
 /** The keys of the owner that plans. */
 interface OwnKeys {
   readonly ranges: readonly KeyRange[];
-  /** The work that each key brings. */
+  /** The work that each key causes. */
   readonly profile: LoadProfile;
-  /** Owners that have no keys yet. */
+  /** Owners without keys. */
   readonly keyless: ReadonlySet<string>;
 }
 
 /**
- * Plans moves from one hot owner to those below the target. Each taker gets the fewest keys: a move costs by
- * keys and not by their work.
+ * Plans moves from one hot owner to owners below the target utilization. Each recipient gets as few keys as possible: the
+ * cost of a move depends on the number of keys and not on their work.
  *
- * Every hot owner plans for itself, from the same reports, and gives each taker only the part of its room that
- * falls to itself (`shareRoom`). If each filled the coolest one, that would be the hottest a second later.
+ * Every hot owner plans independently, from the same load reports, and uses only its own part of each recipient's
+ * headroom (`allocateHeadroom`). If every one filled the least loaded owner, that would be the most loaded a second
+ * later.
  *
- * @param own the load of the owner that may shed.
- * @param others the owners that may take keys.
+ * @param own the load of the owner that may move keys away.
+ * @param others the owners that may receive keys.
  */
 export function planRebalance(
   own: OwnerLoad,
@@ -68,156 +69,187 @@
   keys: OwnKeys,
 ): PlannedMove[] {
   const owners = balanceLoads([own, ...others]);
-  const giver = owners.find(({ daemon }) => daemon === own.daemon)!;
-  const heavy = findHeavyKey(giver, keys);
-  const place = heavy === undefined
+  const source = owners.find(({ daemon }) => daemon === own.daemon)!;
+  const heavyKey = findHeavyKey(source, keys);
+  const heavyKeyRecipient = heavyKey === undefined
     ? undefined
-    : findPlaceFor(heavy, { giver, owners, profile: keys.profile });
-  if (heavy !== undefined && place !== undefined) {
-    return [createMove(heavy, { giver, taker: place, profile: keys.profile })];
+    : findRecipientOf(heavyKey, { source, owners, profile: keys.profile });
+  if (heavyKey !== undefined && heavyKeyRecipient !== undefined) {
+    return [
+      createMove(heavyKey, {
+        source,
+        recipient: heavyKeyRecipient,
+        profile: keys.profile,
+      }),
+    ];
   }
   const target = findTargetUtilization(owners);
-  const shares = allocateHeadroom(giver, {
+  const allocations = allocateHeadroom(source, {
     owners,
     target,
     keyless: keys.keyless,
   });
-  return divide({ giver, shares, heavy }, keys);
+  return divideKeys({ source, allocations, heavyKey }, keys);
 }
 
 /**
- * The one key, if there is one, that fills an overloaded owner almost alone. A key can't be shared, so it belongs
- * on the server that can do most of it, with as little beside it as possible.
+ * The one key, if there is one, that causes most of an overloaded owner's work. A key can't be split, so it belongs on
+ * the server that can do most of its work, with as few other keys as possible.
  */
 function findHeavyKey(
-  giver: BalancedLoad,
+  source: BalancedLoad,
   { ranges, profile }: OwnKeys,
 ): KeyRange | undefined {
-  // A key looks heavy by chance most easily where the whole load does.
-  if (giver.utilization - giver.deviation <= OVERLOADED_UTILIZATION) {
+  // Where the whole load may be overestimated by chance, the load of a key is, too.
+  if (source.utilization - source.deviation <= OVERLOADED_UTILIZATION) {
     return undefined;
   }
-  const heaviest = profile.findHeaviest(ranges);
+  const heaviest = profile.findHeaviestKey(ranges);
   return heaviest !== undefined &&
-      loadAt(heaviest, { giver, profile }) > giver.capacity * HEAVY_SHARE
+      loadAt(heaviest, { source, profile }) >
+        source.capacity * HEAVY_KEY_FRACTION
     ? heaviest
     : undefined;
 }
 
-/** The owner that would be the least loaded with a key, if that is clearly better than where the key is. */
-function findPlaceFor(
+/** The owner that would be the least utilized with a key, if it is clearly less utilized than the key's owner is now. */
+function findRecipientOf(
   key: KeyRange,
   fleet: {
-    giver: BalancedLoad;
+    source: BalancedLoad;
     owners: readonly BalancedLoad[];
     profile: LoadProfile;
   },
 ): BalancedLoad | undefined {
-  const { giver, owners } = fleet;
+  const { source, owners } = fleet;
   const load = loadAt(key, fleet);
   const utilizationWith = ({ utilization, capacity }: BalancedLoad) =>
     utilization + load / capacity;
   const [best] = owners
-    .filter((owner) => owner !== giver)
+    .filter((owner) => owner !== source)
     .toSorted((left, right) => utilizationWith(left) - utilizationWith(right));
   return best !== undefined &&
-      utilizationWith(best) < giver.utilization * WORTHWHILE_RELIEF
+      utilizationWith(best) < source.utilization * MAX_RELATIVE_UTILIZATION
     ? best
     : undefined;
 }
 
-/** Divides the giver's keys among the takers; a heavy key that is best where it is stays. */
-function divide(
+/** Divides the source's keys among the recipients; a heavy key without a better owner stays. */
+function divideKeys(
   plan: {
-    giver: BalancedLoad;
-    shares: readonly MoveAllocation[];
-    heavy: KeyRange | undefined;
+    source: BalancedLoad;
+    allocations: readonly MoveAllocation[];
+    heavyKey: KeyRange | undefined;
   },
   { ranges, profile, keyless }: OwnKeys,
 ): PlannedMove[] {
-  const { giver, shares, heavy } = plan;
-  const left = RangeMap.create<true>();
-  ranges.forEach((range) => left.set(range, true));
-  if (heavy !== undefined) {
-    left.delete(heavy);
+  const { source, allocations, heavyKey } = plan;
+  const movable = RangeMap.create<true>();
+  ranges.forEach((range) => movable.set(range, true));
+  if (heavyKey !== undefined) {
+    movable.delete(heavyKey);
   }
-  let remaining = giver.utilization * giver.capacity;
-  return shares.flatMap((share) => {
-    const isNewcomer = keyless.has(share.taker.daemon);
+  let remainingLoad = source.utilization * source.capacity;
+  return allocations.flatMap((allocation) => {
+    const isKeyless = keyless.has(allocation.recipient.daemon);
     const window = findWindow(
-      { giver, share, isNewcomer },
-      { profile, left, remaining },
+      { source, allocation, isKeyless },
+      { profile, movable, remainingLoad },
     );
     if (window === undefined) {
       return [];
     }
-    left.delete(window);
-    remaining -= loadAt(window, { giver, profile });
-    return [createMove(window, { giver, taker: share.taker, profile })];
+    movable.delete(window);
+    remainingLoad -= loadAt(window, { source, profile });
+    return [
+      createMove(window, { source, recipient: allocation.recipient, profile }),
+    ];
   });
 }
 
-/** What a taker gets: about its share, else one key that is heavier than that, else what there is. */
+/**
+ * Chooses the keys of one move: a window with about the allocated work; else one heavier key; else the window with the
+ * most work up to the allocation.
+ */
 function findWindow(
-  to: { giver: BalancedLoad; share: MoveAllocation; isNewcomer: boolean },
-  keys: { profile: LoadProfile; left: RangeMap<true>; remaining: number },
+  move: {
+    source: BalancedLoad;
+    allocation: MoveAllocation;
+    isKeyless: boolean;
+  },
+  keys: {
+    profile: LoadProfile;
+    movable: RangeMap<true>;
+    remainingLoad: number;
+  },
 ): KeyRange | undefined {
-  const { giver, share, isNewcomer } = to;
-  const { profile, left, remaining } = keys;
-  const movedShare = giver.utilization > OVERLOADED_UTILIZATION
-    ? MOVED_SHARE_OVERLOADED
-    : MOVED_SHARE;
-  const load = share.amount * movedShare * giver.slowness * 1_000;
-  if (load < LEAST_MOVED_MS && !isNewcomer) {
+  const { source, allocation, isKeyless } = move;
+  const { profile, movable, remainingLoad } = keys;
+  const movedFraction = source.utilization > OVERLOADED_UTILIZATION
+    ? MOVED_FRACTION_OVERLOADED
+    : MOVED_FRACTION;
+  const load = allocation.amount * movedFraction * source.slowness * 1_000;
+  if (load < MIN_MOVED_WORK_MS && !isKeyless) {
     return undefined;
   }
-  const window = profile.findWindow(left.segments, { load });
+  const window = profile.findSmallestWindow(movable.segments, { load });
   if (window !== undefined) {
     return window;
   }
-  const heaviest = profile.findHeaviest(left.segments);
+  const heaviest = profile.findHeaviestKey(movable.segments);
   if (
-    heaviest !== undefined && relieves(heaviest, { to, profile, remaining })
+    heaviest !== undefined &&
+    isBetterAtRecipient(heaviest, { move, profile, remainingLoad })
   ) {
     return heaviest;
   }
-  const largest = profile.findLargest(left.segments, { load });
-  return largest !== undefined && profile.loadOf([largest]) >= LEAST_MOVED_MS
-    ? largest
+  const heaviestWindow = profile.findHeaviestWindow(movable.segments, { load });
+  return heaviestWindow !== undefined &&
+      profile.loadOf([heaviestWindow]) >= MIN_MOVED_WORK_MS
+    ? heaviestWindow
     : undefined;
 }
 
 /**
- * Whether a key that brings more than the taker lacks is better off there: the taker is then less loaded than
- * its owner is. Without this the hottest keys never leave the hottest owner.
+ * Whether a key with more work than the recipient's headroom should still move, since the recipient would then be less
+ * utilized than the source. Without this the hottest keys never move away from the hottest owner.
  */
-function relieves(
+function isBetterAtRecipient(
   key: KeyRange,
-  move: {
-    to: { giver: BalancedLoad; share: MoveAllocation };
+  plan: {
+    move: { source: BalancedLoad; allocation: MoveAllocation };
     profile: LoadProfile;
-    remaining: number;
+    remainingLoad: number;
   },
 ): boolean {
-  const { to: { giver, share: { taker } }, profile, remaining } = move;
-  const load = loadAt(key, { giver, profile });
-  const takersAfter = taker.utilization + load / taker.capacity;
-  return takersAfter < (remaining - load) / giver.capacity;
+  const {
+    move: { source, allocation: { recipient } },
+    profile,
+    remainingLoad,
+  } = plan;
+  const load = loadAt(key, { source, profile });
+  const recipientUtilization = recipient.utilization +
+    load / recipient.capacity;
+  return recipientUtilization < (remainingLoad - load) / source.capacity;
 }
 
 /** The work of keys, in slots of an owner of average speed. */
 function loadAt(
   range: KeyRange,
-  at: { giver: BalancedLoad; profile: LoadProfile },
+  at: { source: BalancedLoad; profile: LoadProfile },
 ): number {
-  return at.profile.loadOf([range]) / 1_000 / at.giver.slowness;
+  return at.profile.loadOf([range]) / 1_000 / at.source.slowness;
 }
 
 function createMove(
   range: KeyRange,
-  move: { giver: BalancedLoad; taker: BalancedLoad; profile: LoadProfile },
+  move: {
+    source: BalancedLoad;
+    recipient: BalancedLoad;
+    profile: LoadProfile;
+  },
 ): PlannedMove {
-  const { giver, taker, profile } = move;
-  const load = loadAt(range, { giver, profile }) * taker.slowness * 1_000;
-  return { from: range.from, to: range.to, daemon: taker.daemon, load };
+  const { source, recipient, profile } = move;
+  const load = loadAt(range, { source, profile }) * recipient.slowness * 1_000;
+  return { from: range.from, to: range.to, daemon: recipient.daemon, load };
 }
--- a/packages/keyspace/src/range_map.ts
+++ b/packages/keyspace/src/range_map.ts
@@ -4,26 +4,26 @@
  * @module
  */
 
-/** Keys are numbers from 0 to this, less one. */
+/** Number of keys: a key is an integer from 0 to this number minus one. */
 export const KEY_COUNT = 65_536;
 
-/** A range of keys, both ends included. */
+/** A range of keys, including both ends. */
 export interface KeyRange {
   readonly from: number;
   readonly to: number;
 }
 
-/** A range of keys and its value. */
+/** A range of keys with a value. */
 export interface Segment<V> extends KeyRange {
   readonly value: V;
 }
 
-/** How many keys a range holds. */
+/** Number of keys in a range. */
 export function sizeOf(range: KeyRange): number {
   return range.to - range.from + 1;
 }
 
-/** The keys that two ranges share. */
+/** The intersection of two ranges; `undefined` where they are disjoint. */
 export function intersect(
   left: KeyRange,
   right: KeyRange,
@@ -34,12 +34,12 @@
 }
 
 /**
- * Disjoint ranges of keys in order, each with a value. Neighbours with equal values are kept as one.
- * Values are compared with `===`, unless another comparison is given.
+ * Disjoint ranges of keys in ascending order, each with a value. Adjacent ranges with equal values are merged. Values are
+ * compared with `Object.is`, unless another comparison is given.
  */
 export class RangeMap<V> {
   private constructor(
-    private all: Segment<V>[],
+    private entries: Segment<V>[],
     private readonly isEqual: (left: V, right: V) => boolean,
   ) {}
 
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Creates a map of ranges that are disjoint and in the order of their keys. Setting them one by one
-   * would look at all of them for each.
+   * Creates a map of ranges that are disjoint and in ascending order, in linear time; setting them one by one would take
+   * quadratic time.
    */
   static createFrom<V>(
     segments: readonly Segment<V>[],
@@ -63,23 +63,23 @@
     return map;
   }
 
-  /** All ranges in the order of their keys. */
+  /** All ranges in ascending order. */
   get segments(): readonly Segment<V>[] {
-    return this.all;
+    return this.entries;
   }
 
-  /** The value of one key. */
+  /** The value of a key; `undefined` where it has none. */
   get(key: number): V | undefined {
     return this.find(key)?.value;
   }
 
-  /** The range that holds a key. */
+  /** The range that contains a key; `undefined` where the key has no value. */
   find(key: number): Segment<V> | undefined {
     let low = 0;
-    let high = this.all.length - 1;
+    let high = this.entries.length - 1;
     while (low <= high) {
       const middle = (low + high) >> 1;
-      const segment = this.all[middle]!;
+      const segment = this.entries[middle]!;
       if (key < segment.from) {
         high = middle - 1;
       } else if (key > segment.to) {
@@ -91,9 +91,9 @@
     return undefined;
   }
 
-  /** The parts of this map within a range. */
+  /** The parts of this map's ranges within a range. */
   within(range: KeyRange): Segment<V>[] {
-    return this.all.flatMap((segment) => {
+    return this.entries.flatMap((segment) => {
       const shared = intersect(segment, range);
       return shared === undefined ? [] : [{ ...shared, value: segment.value }];
     });
@@ -101,44 +101,46 @@
 
   /** The parts of a range that have no value. */
   gaps(range: KeyRange): KeyRange[] {
-    const held = this.within(range);
-    const starts = [range.from, ...held.map(({ to }) => to + 1)];
-    const ends = [...held.map(({ from }) => from - 1), range.to];
+    const covered = this.within(range);
+    const starts = [range.from, ...covered.map(({ to }) => to + 1)];
+    const ends = [...covered.map(({ from }) => from - 1), range.to];
     return starts
       .map((from, index) => ({ from, to: ends[index]! }))
       .filter(({ from, to }) => from <= to);
   }
 
-  /** Gives all keys of a range a value. */
+  /** Sets the value of all keys of a range. */
   set(range: KeyRange, value: V): void {
     this.delete(range);
     const { from, to } = range;
-    const index = this.all.findIndex((segment) => segment.from > to);
-    const at = index < 0 ? this.all.length : index;
-    this.all.splice(at, 0, { from, to, value });
+    const index = this.entries.findIndex((segment) => segment.from > to);
+    const at = index < 0 ? this.entries.length : index;
+    this.entries.splice(at, 0, { from, to, value });
     this.merge();
   }
 
   /** Removes all keys of a range. */
   delete(range: KeyRange): void {
-    this.all = this.all.flatMap((segment) => this.cutOut(segment, range));
+    this.entries = this.entries.flatMap((segment) =>
+      this.subtract(segment, range)
+    );
   }
 
   /** Removes all keys. */
   clear(): void {
-    this.all = [];
+    this.entries = [];
   }
 
   /** Replaces the value of each range. */
   replace(change: (value: V) => V): void {
-    this.all = this.all.map((segment) => ({
+    this.entries = this.entries.map((segment) => ({
       ...segment,
       value: change(segment.value),
     }));
     this.merge();
   }
 
-  private cutOut(segment: Segment<V>, range: KeyRange): Segment<V>[] {
+  private subtract(segment: Segment<V>, range: KeyRange): Segment<V>[] {
     if (intersect(segment, range) === undefined) {
       return [segment];
     }
@@ -149,16 +151,16 @@
 
   private merge(): void {
     const merged: Segment<V>[] = [];
-    this.all.forEach((segment) => {
+    this.entries.forEach((segment) => {
       const last = merged.at(-1);
-      const joins = last !== undefined && last.to + 1 === segment.from &&
+      const isMergeable = last !== undefined && last.to + 1 === segment.from &&
         this.isEqual(last.value, segment.value);
-      if (joins) {
+      if (isMergeable) {
         merged[merged.length - 1] = { ...last, to: segment.to };
       } else {
         merged.push(segment);
       }
     });
-    this.all = merged;
+    this.entries = merged;
   }
 }
