--- a/packages/router/src/backend_board.ts
+++ b/packages/router/src/backend_load_tracker.ts
@@ -4,7 +4,10 @@
  * @module
  */
 import type { MemberReport } from "@bamboolink/membership";
-import { type PlacementCandidate, RouteTimes } from "@bamboolink/placement";
+import {
+  type PlacementCandidate,
+  RouteServiceTimes,
+} from "@bamboolink/placement";
 import type { LoadReport } from "./link_codec.ts";
 
 /** A daemon that could not be reached is left out for so long, in milliseconds, if others are there. */
@@ -24,20 +27,20 @@
 }
 
 /** The last load reports, and what was sent since. */
-export class BackendBoard {
+export class BackendLoadTracker {
   private readonly entries = new Map<string, Entry>();
-  private readonly times = RouteTimes.create();
+  private readonly times = RouteServiceTimes.create();
   private readonly sizes = new Map<string, number>();
 
   private constructor() {}
 
   /** Creates an empty board. */
-  static create(): BackendBoard {
-    return new BackendBoard();
+  static create(): BackendLoadTracker {
+    return new BackendLoadTracker();
   }
 
   /** Notes what a daemon says of its backend server. */
-  noteLoad(daemon: string, load: ServerLoad, nowMs: number): void {
+  recordLoad(daemon: string, load: ServerLoad, nowMs: number): void {
     const entry = this.entryOf(daemon);
     entry.load = load;
     entry.reportedAtMs = nowMs;
@@ -45,22 +48,22 @@
   }
 
   /** Notes what a daemon says of its backend server and of the requests of one route there. */
-  noteRoute(
+  recordRouteLoad(
     daemon: string,
     told: { route: string; load: LoadReport; nowMs: number },
   ): void {
     const { route, load, nowMs } = told;
-    this.noteLoad(daemon, load, nowMs);
+    this.recordLoad(daemon, load, nowMs);
     if (load.serviceMs > 0) {
-      this.times.note(daemon, route, {
+      this.times.record(daemon, route, {
         serviceMs: load.serviceMs,
-        atMs: nowMs,
+        reportedAtMs: nowMs,
       });
     }
   }
 
   /** Notes how many bytes a request of a route and its answer had. */
-  noteSize(route: string, bytes: number): void {
+  recordSize(route: string, bytes: number): void {
     const known = this.sizes.get(route) ?? bytes;
     this.sizes.set(route, known + SIZE_RATE * (bytes - known));
   }
@@ -76,12 +79,12 @@
   }
 
   /** Notes a request that was sent to a daemon. */
-  noteSent(daemon: string): void {
+  recordSent(daemon: string): void {
     this.entryOf(daemon).sentSinceReport += 1;
   }
 
   /** Notes that a daemon could not be reached. */
-  noteUnreachable(daemon: string, nowMs: number): void {
+  markUnreachable(daemon: string, nowMs: number): void {
     this.entryOf(daemon).avoidUntilMs = nowMs + AVOID_MS;
   }
 
@@ -109,7 +112,7 @@
       isSameZone: report.availabilityZone === own.availabilityZone,
       slots: report.slots,
       ...load,
-      serviceMs: this.times.expectMs(report.address, own.route, own.nowMs),
+      serviceMs: this.times.estimateMs(report.address, own.route, own.nowMs),
       meanServiceMs: report.serviceMs,
       transferBytes: this.sizes.get(own.route) ?? 0,
       reportAgeMs: Math.max(0, own.nowMs - reportedAtMs),
