--- a/packages/keyspace/src/mod.ts
+++ b/packages/keyspace/src/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Decides which backend server owns which range of keys, and for how long. Pure: time comes in,
- * decisions go out.
+ * Decides which backend server owns which range of keys, and for how long. Without side effects: the current time is
+ * passed in, decisions are returned.
  *
  * @module
  */
--- a/packages/keyspace/src/ownership_record.ts
+++ b/packages/keyspace/src/ownership_record.ts
@@ -1,5 +1,5 @@
 /**
- * The record in the store that says which daemon's backend server owns which keys of one service.
+ * The record in the store that assigns the keys of one service to daemons' backend servers.
  *
  * @module
  */
@@ -13,18 +13,18 @@
   type Segment,
 } from "./range_map.ts";
 
-/** Who owns a range. */
+/** The owner of a range. */
 export interface Owner {
   /** Address of the daemon beside the owning backend server. */
   readonly daemon: string;
   /** Proof of an orderly handover by the previous owner; empty where there was none. */
   readonly handover: string;
   /**
-   * Names the takeover that has begun, 0 without one: the owner may not extend its tenure unless it
-   * removes the seal, and others may assign the range once the owner's tenure has certainly ended.
+   * Id of the takeover in progress, 0 without one: the owner may not extend its lease unless it removes the seal, and
+   * others may assign the range once the owner's lease has certainly ended.
    *
-   * Each seal has a name of its own. Otherwise a daemon that missed a removal would count its wait from
-   * an earlier seal, while the owner has extended its tenure in between.
+   * Each seal has a unique id. Otherwise a daemon that missed the removal of a seal would count its wait from an earlier
+   * seal, while the owner has extended its lease in between.
    */
   readonly seal: number;
 }
@@ -35,22 +35,19 @@
   readonly seal: number;
 }
 
-/**
- * A daemon that may take owners over after the short tenure, because they can't go on for longer without its
- * promise.
- */
+/** A daemon that may take owners over after the short lease, since their leases end by then without its promise. */
 export interface Arbiter {
   readonly daemon: string;
   /**
-   * Names the appointment. Each has a name of its own: one that was no arbiter for a moment must not take
-   * itself for one all along, since an owner may have read the record in that moment.
+   * Unique for each appointment: a daemon that was no arbiter for a short time must not count its time as an arbiter
+   * from the earlier appointment, since an owner may have read the record in between.
    */
   readonly appointmentId: number;
 }
 
 const StoredKey = z.int().min(0).max(KEY_COUNT - 1);
 
-/** First key, last key, index of the daemon, proof of the handover, name of the seal. */
+/** First key, last key, index of the daemon, proof of the handover, id of the seal. */
 const StoredRange = z.tuple([
   StoredKey,
   StoredKey,
@@ -60,30 +57,30 @@
 ]);
 
 /**
- * Each change of a record goes to all daemons, so it is kept short: rows in place of named fields, and
- * each daemon's address once.
+ * Every change of a record is sent to all daemons, so the encoding is compact: tuples rather than named fields, and each
+ * daemon's address only once.
  */
 const StoredRecord = z.object({
   daemons: z.array(z.string()),
   ranges: z.array(StoredRange),
-  /** Daemon and name of the appointment. */
+  /** Daemon and id of the appointment. */
   arbiters: z.array(z.tuple([z.string(), z.int().min(0)])).default([]),
-  /** How often the store had gone back when this was written; another figure than the store's says that it is old. */
+  /** Number of rollbacks of the store before this was written; a record whose era differs from the store's is old. */
   era: z.int().min(0).default(0),
-  /** Whether this was put back after the store had lost it, and others may still hold keys by a later one. */
+  /** Whether this was restored after the store had lost it, and others may still hold keys by a later record. */
   restored: z.boolean().default(false),
 });
 
-/** Bounds how many daemons are sealed in one write; far above the size of any fleet. */
-const MOST_SEALS_AT_ONCE = 65_536;
+/** Maximum number of daemons that are sealed in one write; far above the size of any fleet. */
+const MAX_SEALS_PER_WRITE = 65_536;
 
-/** A change of the owner of one range. */
+/** The assignment of one range to a new owner. */
 export interface Assignment extends KeyRange {
   readonly daemon: string;
   readonly handover: string;
 }
 
-/** What a record says. */
+/** The content of a record. */
 interface Content {
   readonly revision: number;
   readonly owners: RangeMap<Owner>;
@@ -92,11 +89,11 @@
   readonly isRestored: boolean;
 }
 
-/** One revision of the ownership of a service. It is never changed; changes make a new one. */
+/** One revision of the ownership of a service. It is immutable; every change returns a new record. */
 export class OwnershipRecord {
   private constructor(private readonly content: Content) {}
 
-  /** A record in which no key has an owner. */
+  /** Creates a record in which no key has an owner. */
   static create(): OwnershipRecord {
     return new OwnershipRecord({
       revision: 0,
@@ -107,12 +104,12 @@
     });
   }
 
-  /** The store's revision of this record, in the order over all eras; 0 where there is none in the store yet. */
+  /** The store's revision of this record, ordered across all eras; 0 where the record is not in the store yet. */
   get revision(): number {
     return this.content.revision;
   }
 
-  /** Those who may take owners over after the short tenure. */
+  /** The daemons that may take owners over after the short lease. */
   get arbiters(): readonly Arbiter[] {
     return this.content.arbiters;
   }
@@ -123,8 +120,8 @@
   }
 
   /**
-   * Whether the record was put back after the store had lost what came after it. Owners go on with what they hold;
-   * nobody is given keys by it, since those who had them by what was lost may still hold them.
+   * Whether the record was restored after the store had lost later changes. Owners keep the keys that they hold; no keys
+   * are granted by it, since their owners in the lost records may still hold them.
    */
   get isRestored(): boolean {
     return this.content.isRestored;
@@ -134,7 +131,11 @@
     return this.content.owners;
   }
 
-  /** Decodes a record of the store. */
+  /**
+   * Decodes a record of the store.
+   *
+   * @returns an error `invalid` where the text is not a valid record.
+   */
   static decode(
     text: string,
     revision: number,
@@ -178,12 +179,12 @@
     return JSON.stringify({ daemons, ranges, arbiters, era, restored });
   }
 
-  /** All ranges that have an owner. */
+  /** All ranges that have an owner, in ascending order. */
   get segments(): readonly Segment<Owner>[] {
     return this.owners.segments;
   }
 
-  /** The owner of a key. */
+  /** The owner of a key; `undefined` where it has none. */
   ownerOf(key: number): Owner | undefined {
     return this.owners.get(key);
   }
@@ -203,7 +204,7 @@
     return [...new Set(this.owners.segments.map(({ value }) => value.daemon))];
   }
 
-  /** Owners that are being taken over. */
+  /** Owners that are being taken over, one entry for each seal. */
   get sealedOwners(): SealedOwner[] {
     const seals = this.owners.segments
       .filter(({ value }) => value.seal !== 0)
@@ -221,32 +222,32 @@
     return this.owners.segments.filter(({ value }) => value.seal === seal);
   }
 
-  /** Gives ranges to other owners. */
+  /** Assigns ranges to new owners, without seals. */
   assign(changes: readonly Assignment[]): OwnershipRecord {
-    return this.change((owners) =>
+    return this.withChangedOwners((owners) =>
       changes.forEach(({ from, to, daemon, handover }) =>
         owners.set({ from, to }, { daemon, handover, seal: 0 })
       )
     );
   }
 
-  /** Takes ranges from their owner and gives them to nobody. */
+  /** Removes the owners of ranges. */
   release(ranges: readonly KeyRange[]): OwnershipRecord {
-    return this.change((owners) =>
+    return this.withChangedOwners((owners) =>
       ranges.forEach((range) => owners.delete(range))
     );
   }
 
-  /** Begins to take over all ranges of daemons that are not being taken over yet. */
+  /** Begins the takeover of daemons; ranges that are already sealed keep their seals. */
   seal(daemons: readonly string[]): OwnershipRecord {
-    // A revision is replaced once only, and the number of the daemon tells apart what is sealed with it.
+    // Each revision is replaced only once, and the daemon's index distinguishes the seals of one write.
     const seals = new Map(
       daemons.map((daemon, index) => [
         daemon,
-        this.revision * MOST_SEALS_AT_ONCE + index + 1,
+        this.revision * MAX_SEALS_PER_WRITE + index + 1,
       ]),
     );
-    return this.change((owners) =>
+    return this.withChangedOwners((owners) =>
       owners.replace((owner) => ({
         ...owner,
         seal: owner.seal || (seals.get(owner.daemon) ?? 0),
@@ -254,16 +255,16 @@
     );
   }
 
-  /** Ends the takeover of a daemon. */
+  /** Cancels the takeover of a daemon. */
   unseal(daemon: string): OwnershipRecord {
-    return this.change((owners) =>
+    return this.withChangedOwners((owners) =>
       owners.replace((owner) =>
         owner.daemon === daemon ? { ...owner, seal: 0 } : owner
       )
     );
   }
 
-  /** Names the arbiters; those who are it already stay in office. */
+  /** Appoints the arbiters; present arbiters among them keep their appointments. */
   appoint(daemons: readonly string[]): OwnershipRecord {
     const arbiters = daemons.map((daemon) =>
       this.arbiters.find((arbiter) => arbiter.daemon === daemon) ??
@@ -272,32 +273,34 @@
     return new OwnershipRecord({ ...this.content, arbiters });
   }
 
-  /** The office of a daemon, if it is an arbiter. */
+  /** The appointment of a daemon, if it is an arbiter. */
   findArbiter(daemon: string): Arbiter | undefined {
     return this.arbiters.find((arbiter) => arbiter.daemon === daemon);
   }
 
-  /** The same content under the revision that the store gave it. */
+  /** The same content with the revision that the store assigned to it. */
   withRevision(revision: number): OwnershipRecord {
     return new OwnershipRecord({ ...this.content, revision });
   }
 
-  /** The same content as it is written in an era of the store. */
+  /** The same content as written in the given era of the store. */
   withEra(era: number): OwnershipRecord {
     return new OwnershipRecord({ ...this.content, era });
   }
 
-  /** The same content as it is put back in a new era of the store. */
+  /** The same content as restored in a new era of the store. */
   restoredIn(era: number): OwnershipRecord {
     return new OwnershipRecord({ ...this.content, era, isRestored: true });
   }
 
-  /** Nobody holds keys by what the store has lost any more: the record is in force like any other. */
+  /** Gives a restored record full effect, once no backend server holds keys by the lost records any more. */
   settle(): OwnershipRecord {
     return new OwnershipRecord({ ...this.content, isRestored: false });
   }
 
-  private change(apply: (owners: RangeMap<Owner>) => void): OwnershipRecord {
+  private withChangedOwners(
+    apply: (owners: RangeMap<Owner>) => void,
+  ): OwnershipRecord {
     const owners = RangeMap.createFrom(this.owners.segments, isSameOwner);
     apply(owners);
     return new OwnershipRecord({ ...this.content, owners });
@@ -320,7 +323,7 @@
     left.seal === right.seal;
 }
 
-/** Checks what the schema can't: that rows are in order, and name daemons that are listed. */
+/** Checks what the schema can't express: rows are in ascending order and refer to listed daemons. */
 function toOwners(
   stored: z.infer<typeof StoredRecord>,
 ): Result<RangeMap<Owner>, BamboolinkError> {
@@ -336,21 +339,21 @@
   });
   return isOrdered && segments.length === ranges.length
     ? ok(RangeMap.createFrom(segments, isSameOwner))
-    : err(invalid("its ranges overlap or name no daemon", undefined));
+    : err(invalid("ranges overlap or refer to no listed daemon", undefined));
 }
 
 function parseJson(text: string): Result<unknown, BamboolinkError> {
   try {
     return ok(JSON.parse(text));
   } catch (cause) {
-    return err(invalid("it is not JSON", cause));
+    return err(invalid("not valid JSON", cause));
   }
 }
 
 function invalid(reason: string, cause: unknown): BamboolinkError {
   return BamboolinkError.create(
     "invalid",
-    `the ownership record can't be read: ${reason}`,
+    `invalid ownership record: ${reason}`,
     { step: "ownership_record.decode", cause },
   );
 }
--- a/packages/keyspace/src/testing/seeded_random.ts
+++ b/packages/keyspace/src/testing/seeded_random.ts
@@ -1,10 +1,10 @@
 /**
- * Random numbers that come again with their seed.
+ * Reproducible pseudo-random numbers.
  *
  * @module
  */
 
-/** Creates a source of numbers from 0 up to 1. */
+/** Creates a source of numbers from 0 up to 1; the same seed gives the same sequence. */
 export function seededRandom(seed: number): () => number {
   let state = seed;
   return () => {
