--- a/packages/keyspace/src/ownership_safety_test.ts
+++ b/packages/keyspace/src/ownership_safety_test.ts
@@ -8,10 +8,10 @@
 import fc from "fast-check";
 import {
   type Fault,
+  OwnershipSimulation,
   type Step,
   STEP_KINDS,
   type StepKind,
-  TenureWorld,
 } from "./testing/ownership_simulation.ts";
 
 const SEED = 20_261_203;
@@ -49,7 +49,7 @@
 ];
 
 /** A spoiled record stands still all that ownership could do next, so it comes in a sequence that mends it. */
-const EVERYDAY_KINDS = STEP_KINDS.filter((kind) => kind !== "spoil");
+const EVERYDAY_KINDS = STEP_KINDS.filter((kind) => kind !== "corrupt");
 
 const anything = fc.constantFrom(...EVERYDAY_KINDS)
   .chain((kind) => step(kind))
@@ -241,7 +241,7 @@
     exactly("seal", 0),
     exactly("advance", 0, 1),
     exactly("advance", 0, askedAfter),
-    exactly("ask", 1, 1, 0),
+    exactly("request_promises", 1, 1, 0),
     exactly("advance", 0, heartbeatAfter),
     exactly("heartbeat", 1),
     exactly("advance", 0, Math.max(1, left + more)),
@@ -271,7 +271,7 @@
     ]
     : []),
   exactly("advance", 0, 3),
-  exactly("ask", 1, 1, 0),
+  exactly("request_promises", 1, 1, 0),
   exactly("advance", 0, 2),
   exactly("heartbeat", 1),
   exactly("advance", 0, 20),
@@ -321,7 +321,7 @@
   ...live(11),
   exactly("confirm", 1),
   exactly("advance", 0, 1),
-  exactly("ask", 1, 1, backMs),
+  exactly("request_promises", 1, 1, backMs),
   exactly("advance", 0, 1),
   ...quickTakeover(late).slice(2),
 ]);
@@ -363,7 +363,7 @@
   exactly("advance", 0, 3),
   exactly("confirm", 1),
   exactly("advance", 0, 3),
-  exactly("spoil", 0, 1, kind),
+  exactly("corrupt", 0, 1, kind),
   exactly("confirm", 2),
   exactly("advance", 0, 3),
   exactly("repair", 2, 1, 1),
@@ -432,7 +432,7 @@
   exactly("publish", 0, 1, 0),
   exactly("advance", 0, 3),
   ...hear(1),
-  exactly("go_back", 0, 0),
+  exactly("roll_back", 0, 0),
   ...restoreBy(by),
   exactly("settle", by),
   exactly("advance", 0, 3),
@@ -464,7 +464,7 @@
   exactly("advance", 0, 3),
   exactly("heartbeat", 0),
   exactly("advance", 0, 2),
-  exactly("go_back", 0, lost),
+  exactly("roll_back", 0, lost),
   exactly("restart_daemon", by),
   exactly("advance", 0, 3),
   ...restoreBy(by),
@@ -487,7 +487,7 @@
   exactly("advance", 0, 2),
   exactly("confirm", 1),
   exactly("advance", 0, 2),
-  exactly("go_back", 0, 0),
+  exactly("roll_back", 0, 0),
   ...restoreBy(0),
   exactly("seal", 0),
   exactly("advance", 0, 1),
@@ -527,8 +527,8 @@
 function findViolation(fault: Fault | undefined, runs: number): string[] {
   const found: string[] = [];
   const property = fc.property(schedule, ({ size, steps }) => {
-    const world = TenureWorld.create(size, fault);
-    world.play(steps);
+    const world = OwnershipSimulation.create(size, fault);
+    world.run(steps);
     found.push(...world.violations.slice(0, 1));
     return world.violations.length === 0;
   });
@@ -545,7 +545,7 @@
 
   describe("while nothing fails", () => {
     it("keeps all keys held", () => {
-      const world = TenureWorld.create(3);
+      const world = OwnershipSimulation.create(3);
       const rounds = Array.from(
         { length: 60 },
         () =>
@@ -554,7 +554,7 @@
             { kind: "heartbeat", host, a: 1, b: 1 },
           ]).concat([{ kind: "advance", host: 0, a: 200, b: 0 }]),
       );
-      world.play(rounds.flat());
+      world.run(rounds.flat());
       expect(world.heldKeys).to.equal(65_536);
       expect(world.violations).to.deep.equal([]);
     });
@@ -562,13 +562,13 @@
 
   describe("when an owner is lost", () => {
     it("lets an arbiter have its keys after the short tenure", () => {
-      const world = TenureWorld.create(3);
+      const world = OwnershipSimulation.create(3);
       const owner = 1;
       const others = live(11);
       const withoutOwner = others.filter(({ kind, host }) =>
         kind === "advance" || host !== owner
       );
-      world.play([
+      world.run([
         exactly("appoint", 0, 0, 1),
         exactly("advance", 0, 2),
         ...others,
@@ -588,12 +588,14 @@
 
   describe("while the store is down", () => {
     it("lets owners go on as long as the arbiters promise, up to the longest tenure", () => {
-      const world = TenureWorld.create(3);
+      const world = OwnershipSimulation.create(3);
       const rounds = (seconds: number) =>
         live(seconds).map((one) =>
-          one.kind === "confirm" ? { ...one, kind: "ask" as const } : one
+          one.kind === "confirm"
+            ? { ...one, kind: "request_promises" as const }
+            : one
         );
-      world.play([
+      world.run([
         exactly("appoint", 0, 0, 1),
         exactly("advance", 0, 2),
         ...live(3),
@@ -607,10 +609,10 @@
 
   describe("when another writer has spoiled the record", () => {
     it("lets all keys be held again once it is replaced after the longest tenure", () => {
-      const world = TenureWorld.create(3);
-      world.play([
+      const world = OwnershipSimulation.create(3);
+      world.run([
         ...live(2),
-        exactly("spoil", 0, 1, 0),
+        exactly("corrupt", 0, 1, 0),
         ...live(11),
         exactly("repair", 2, 1, 1),
         exactly("advance", 0, 2),
@@ -624,7 +626,7 @@
   describe("when the store comes back from an older copy", () => {
     const returned = (settles: readonly Step[]) => [
       ...live(2),
-      exactly("go_back", 0, 0),
+      exactly("roll_back", 0, 0),
       ...restoreBy(2),
       ...live(11),
       ...settles,
@@ -634,8 +636,8 @@
     it("keeps all keys held meanwhile, and once the record is settled", () => {
       const settled = [exactly("settle", 2), exactly("advance", 0, 2)];
       [[], settled].forEach((settles) => {
-        const world = TenureWorld.create(3);
-        world.play(returned(settles));
+        const world = OwnershipSimulation.create(3);
+        world.run(returned(settles));
         expect(world.heldKeys).to.equal(65_536);
         expect(world.violations).to.deep.equal([]);
       });
@@ -644,28 +646,28 @@
 
   describe("with a broken rule", () => {
     const faults: Fault[] = [
-      "tenure_from_answer",
+      "lease_from_response",
       "steady_clock",
       "takeover_without_drift",
       "takeover_at_once",
-      "nameless_seal",
-      "release_unfreed",
-      "forgetful_restart",
+      "reused_seal_id",
+      "release_before_freed",
+      "restart_without_holds",
       "tokens_from_record",
-      "promise_from_answer",
-      "any_promise",
-      "promise_under_seal",
-      "arbiter_at_once",
-      "nameless_office",
-      "read_before_question",
-      "tokens_outlive_tenure",
+      "promise_from_response",
+      "one_promise_suffices",
+      "promise_to_sealed_owner",
+      "arbiter_without_wait",
+      "reused_appointment_id",
+      "read_before_request",
+      "tokens_outlive_lease",
       "promise_after_takeover",
       "promise_after_restart",
-      "id_names_process",
+      "id_identifies_process",
       "repair_at_once",
       "order_without_era",
-      "copy_in_force",
-      "restored_in_force",
+      "earlier_era_in_force",
+      "restored_grants_keys",
       "restored_confirms_all",
       "settle_at_once",
     ];
--- a/packages/keyspace/src/testing/ownership_simulation.ts
+++ b/packages/keyspace/src/testing/ownership_simulation.ts
@@ -1,9 +1,9 @@
 /**
- * A small world in which daemons, backend servers and the store run on virtual time, to try the rules of
- * sole ownership under delays, crashes, suspensions, outages and clocks that differ.
+ * A discrete-event simulation of daemons, backend servers and the store on virtual time. It exercises the rules that keep
+ * every key with at most one holder under delays, crashes, suspensions, outages and clocks with different rates.
  *
- * The decisions are the real ones; only their surroundings are played. Each fault is a broken variant of
- * one rule or assumption, which the properties must notice.
+ * It runs the real decision code and simulates only its environment. Each fault is a broken variant of one rule or
+ * assumption, which the checked properties must detect.
  *
  * @module
  */
@@ -29,63 +29,63 @@
 } from "../mod.ts";
 import { orderRevision } from "@bamboolink/types";
 
-/** A broken variant of one rule. */
+/** A broken variant of one rule or assumption. */
 export type Fault =
-  /** A tenure counts from when the answer of the store came. */
-  | "tenure_from_answer"
-  /** A tenure is measured by a clock that stands still during a suspension. */
+  /** A lease counts from when the store's response was received. */
+  | "lease_from_response"
+  /** A lease is measured by a clock that stops during a suspension. */
   | "steady_clock"
-  /** A takeover waits for the tenure by its own clock only, without the drift of others. */
+  /** A takeover waits for the lease by its own clock, without allowing for the drift of other clocks. */
   | "takeover_without_drift"
-  /** A takeover begins to assign without waiting. */
+  /** A takeover assigns the keys without waiting. */
   | "takeover_at_once"
-  /** Seals have no name: the wait counts from the first that was seen. */
-  | "nameless_seal"
+  /** Seals have no unique id: the wait counts from the first one that was observed. */
+  | "reused_seal_id"
   /** A release is written before the backend server has given the keys back. */
-  | "release_unfreed"
-  /** A restarted daemon takes nothing for held by its backend server. */
-  | "forgetful_restart"
-  /** Tokens of a restarted daemon come from the record alone. */
+  | "release_before_freed"
+  /** A restarted daemon assumes that its backend server holds no keys. */
+  | "restart_without_holds"
+  /** Tokens of a restarted daemon are derived from the record alone. */
   | "tokens_from_record"
-  /** A promise counts from when it came. */
-  | "promise_from_answer"
-  /** The promise of one arbiter is enough. */
-  | "any_promise"
-  /** Arbiters promise to owners that they know to be sealed. */
-  | "promise_under_seal"
-  /** An arbiter takes over quickly as soon as it is one. */
-  | "arbiter_at_once"
-  /** Appointments have no name: an arbiter takes itself for one all along. */
-  | "nameless_office"
-  /** The daemon that reads for all answers with what it had read before it was asked. */
-  | "read_before_question"
-  /** Tokens stay as they are while keys may have been another owner's. */
-  | "tokens_outlive_tenure"
-  /** An arbiter remembers no seal: what it has taken over looks like any other owner. */
+  /** A promise counts from when it was received. */
+  | "promise_from_response"
+  /** The promise of one arbiter suffices. */
+  | "one_promise_suffices"
+  /** Arbiters make promises to owners that they have observed as sealed. */
+  | "promise_to_sealed_owner"
+  /** An arbiter takes over after the short lease as soon as it is appointed. */
+  | "arbiter_without_wait"
+  /** Appointments have no unique id: an arbiter counts its time from an earlier appointment. */
+  | "reused_appointment_id"
+  /** The shared reader responds with what it had read before the request. */
+  | "read_before_request"
+  /** Tokens are not raised although another owner may have held the keys. */
+  | "tokens_outlive_lease"
+  /** An arbiter keeps no seals: an owner that it has taken over is treated like any other. */
   | "promise_after_takeover"
-  /** An arbiter that has started again promises at once. */
+  /** A restarted arbiter makes promises at once. */
   | "promise_after_restart"
-  /** A backend server that starts again under its id is taken for the former process. */
-  | "id_names_process"
-  /** A record that can't be read is replaced by the last known one at once. */
+  /** A backend server that restarts with the same id is treated as the former process. */
+  | "id_identifies_process"
+  /** A corrupt record is replaced by the last known one at once. */
   | "repair_at_once"
-  /** Records are told apart by the store's own revisions, and tokens made of them. */
+  /** Records are ordered, and tokens derived, by the store's own revisions without the era. */
   | "order_without_era"
-  /** What the store holds after it went back is taken for in force. */
-  | "copy_in_force"
-  /** A record that was put back gives keys like any other. */
-  | "restored_in_force"
-  /** It confirms also those who were no owners just before. */
+  /** A record of an earlier era is treated as valid after a rollback of the store. */
+  | "earlier_era_in_force"
+  /** A restored record grants keys like any other. */
+  | "restored_grants_keys"
+  /** A restored record confirms leases that were not valid just before, too. */
   | "restored_confirms_all"
-  /** It is in force like any other at once. */
+  /** A restored record takes full effect at once. */
   | "settle_at_once";
 
 /** One step of a schedule. */
 export interface Step {
   readonly kind: StepKind;
-  /** Chooses the host. */
+  /** Selects the host. */
   readonly host: number;
-  /** Delays and lengths, in milliseconds. */
+  /** Delays and durations, in milliseconds, or choices, depending on the kind. */
   readonly a: number;
   readonly b: number;
 }
@@ -108,102 +108,102 @@
   "suspend",
   "outage",
   "appoint",
-  "ask",
-  "spoil",
+  "request_promises",
+  "corrupt",
   "repair",
-  "go_back",
+  "roll_back",
   "restore",
   "settle",
 ] as const;
 /** The kind of a step. */
 export type StepKind = typeof STEP_KINDS[number];
 
-/** Clocks of backend servers run up to this much slow. */
-const SERVER_DRIFT = 0.02;
-/** A daemon waits so long for the answer to a heartbeat, in milliseconds. */
-const ANSWER_MS = 1_000;
-/** A heartbeat is overdue after so long, in milliseconds. */
-const OVERDUE_MS = 1_300;
-/** And a server that nobody finds is gone after so long, in milliseconds. */
-const SILENT_MS = 2_500;
-/** The most changes that the store loses when it goes back. */
-const LARGEST_LOSS = 6;
-/** The first revision of the era after the first one, in the order over all eras. */
-const FIRST_OF_NEXT_ERA = orderRevision({ era: 1, revision: 1 }) - 1;
+/** Fraction by which the clocks of backend servers run slow. */
+const SERVER_CLOCK_DRIFT = 0.02;
+/** After this time a response to a heartbeat is ignored, in milliseconds. */
+const RESPONSE_TIMEOUT_MS = 1_000;
+/** Time after which a heartbeat is overdue, in milliseconds. */
+const HEARTBEAT_OVERDUE_MS = 1_300;
+/** Time after which a server that does not respond to a probe counts as stopped, in milliseconds. */
+const UNRESPONSIVE_MS = 2_500;
+/** Maximum number of changes that the store loses in a rollback. */
+const MAX_LOST_SNAPSHOTS = 6;
+/** Distance of the revisions of consecutive eras in the order across all eras. */
+const REVISIONS_PER_ERA = orderRevision({ era: 1, revision: 1 }) - 1;
 /** Clock rates of the daemons. */
-const DAEMON_RATES = [1.009, 0.991, 1, 1.005];
-/** The steps after which somebody may have begun to hold keys are looked at this often, in ms. */
-const LONGEST_STEP_MS = 50;
+const DAEMON_CLOCK_RATES = [1.009, 0.991, 1, 1.005];
+/** Maximum time between two checks of the properties, in milliseconds. */
+const MAX_TIME_STEP_MS = 50;
 
 interface Server {
   instance: string;
-  /** Names the process, also where it keeps the id of an earlier one. */
+  /** Identifies the process, even where it keeps the id of an earlier one. */
   born: number;
   sequence: number;
-  readonly holds: RangeMap<{ token: number; untilMs: number }>;
+  readonly holds: RangeMap<{ token: number; expiresAtMs: number }>;
   freed: FreedRange[];
-  /** Highest token that this incarnation has seen. */
-  seen: number;
+  /** Highest token that this incarnation has received. */
+  maxToken: number;
 }
 
 interface Host {
   readonly name: string;
   readonly rate: number;
   server: Server;
-  /** The incarnation before, whose heartbeats may still arrive. */
-  ghost: Heartbeat | undefined;
+  /** Heartbeat of the previous incarnation, which may still arrive. */
+  formerHeartbeat: Heartbeat | undefined;
   grants: GrantTracker;
-  tenure: OwnershipLease;
-  waits: TakeoverTimers;
-  promises: ArbiterState;
-  instances: IncarnationTracker;
-  repair: RepairTimer;
-  restore: RestoreTimer;
-  /** The store's era, as far as the daemon knows. */
+  lease: OwnershipLease;
+  takeoverTimers: TakeoverTimers;
+  arbiterState: ArbiterState;
+  incarnations: IncarnationTracker;
+  repairTimer: RepairTimer;
+  restoreTimer: RestoreTimer;
+  /** The latest era of the store that the daemon has observed. */
   era: number;
   record: OwnershipRecord;
   registration: number;
   suspendedUntilMs: number;
   suspendedForMs: number;
   handovers: FreedRange[];
-  life: number;
+  restarts: number;
 }
 
-/** What the store held at a moment. */
-interface Copy {
+/** The content of the store at one time. */
+interface Snapshot {
   readonly stored: OwnershipRecord;
-  readonly spoiledAs: number | undefined;
+  readonly corruptRevision: number | undefined;
   readonly revision: number;
 }
 
-/** What a read of the store has found. */
-interface Found {
+/** The result of a read of the store. */
+interface ReadResult {
   readonly stored: OwnershipRecord;
-  readonly spoiledAs: number | undefined;
+  readonly corruptRevision: number | undefined;
   readonly era: number;
 }
 
-interface Event {
-  readonly atMs: number;
-  readonly act: () => void;
+interface ScheduledEvent {
+  readonly dueAtMs: number;
+  readonly run: () => void;
 }
 
-/** The world. */
-export class TenureWorld {
-  /** What went wrong, in words. */
+/** The simulated service. */
+export class OwnershipSimulation {
+  /** Descriptions of the violations of the properties. */
   readonly violations: string[] = [];
   private readonly hosts: Host[];
-  private events: Event[] = [];
+  private events: ScheduledEvent[] = [];
   private nowMs = 100_000;
   private outageUntilMs = 0;
   private stored = OwnershipRecord.create();
-  /** Revision of what another writer has put in the record's place, 0 for nothing. */
-  private spoiledAs: number | undefined;
+  /** Revision of the corrupt value that another writer has put in the record's place; 0 where it was deleted. */
+  private corruptRevision: number | undefined;
   private revision = 1;
   private era = 0;
-  private copies: Copy[] = [];
-  private instances = 0;
-  private readonly highest = RangeMap.create<
+  private snapshots: Snapshot[] = [];
+  private serverCount = 0;
+  private readonly highestTokens = RangeMap.create<
     { token: number; holder: string }
   >();
 
@@ -218,17 +218,17 @@
     this.assignFirst();
   }
 
-  /** Creates a world of some hosts, in which all keys are owned. */
-  static create(size: number, fault?: Fault): TenureWorld {
-    return new TenureWorld(size, fault);
+  /** Creates a simulation with `size` hosts, in which all keys have an owner. */
+  static create(size: number, fault?: Fault): OwnershipSimulation {
+    return new OwnershipSimulation(size, fault);
   }
 
-  /** Plays a schedule. */
-  play(steps: readonly Step[]): void {
+  /** Runs a schedule. */
+  run(steps: readonly Step[]): void {
     steps.forEach((step) => this.step(step));
   }
 
-  /** How many keys are held by anybody. */
+  /** Number of keys that any backend server holds. */
   get heldKeys(): number {
     const held = RangeMap.create<true>();
     this.hosts.forEach((host) =>
@@ -247,23 +247,32 @@
       case "advance":
         return this.advance(a * 4);
       case "heartbeat":
-        return this.sendHeartbeat(host, { thereMs: a % 40, backMs: b % 40 });
+        return this.sendHeartbeat(host, {
+          requestDelayMs: a % 40,
+          responseDelayMs: b % 40,
+        });
       case "late_heartbeat":
-        return this.sendHeartbeat(host, { thereMs: a * 3, backMs: b });
+        return this.sendHeartbeat(host, {
+          requestDelayMs: a * 3,
+          responseDelayMs: b,
+        });
       case "confirm":
-        return this.confirm(host, { thereMs: a % 200, backMs: b * 2 });
+        return this.confirm(host, {
+          requestDelayMs: a % 200,
+          responseDelayMs: b * 2,
+        });
       case "shared_confirm":
         return this.confirmShared(host, {
           reader: other,
           gatherMs: a % 400,
-          backMs: b * 2,
+          responseDelayMs: b * 2,
         });
       case "release":
         return host.grants.beginRelease(host.grants.ownRanges.slice(0, 1));
       case "publish":
         return this.publish(host, {
           to: other,
-          lateMs: b % 3 === 0 ? a * 5 : 2,
+          delayMs: b % 3 === 0 ? a * 5 : 2,
         });
       case "seal":
         return this.write(host, (record) => record.seal([other.name]), 2);
@@ -294,17 +303,20 @@
         return;
       case "appoint":
         return this.appoint(host, { other, choice: a });
-      case "ask":
-        return this.ask(host, { thereMs: a % 50, backMs: b * 5 });
-      case "spoil":
+      case "request_promises":
+        return this.requestPromises(host, {
+          requestDelayMs: a % 50,
+          responseDelayMs: b * 5,
+        });
+      case "corrupt":
         this.revision += 1;
-        this.spoiledAs = b % 2 === 0 ? this.order() : 0;
-        this.copy();
+        this.corruptRevision = b % 2 === 0 ? this.currentRevision() : 0;
+        this.takeSnapshot();
         return;
       case "repair":
         return this.repair(host, b % 3 === 0 ? a * 5 : 2);
-      case "go_back":
-        return this.goBack(a);
+      case "roll_back":
+        return this.rollBack(a);
       case "restore":
         return this.restore(host, b % 3 === 0 ? a * 5 : 2);
       case "settle":
@@ -312,73 +324,73 @@
     }
   }
 
-  /** The present revision in the order over all eras. */
-  private order(): number {
+  /** The current revision in the order across all eras. */
+  private currentRevision(): number {
     const era = this.fault === "order_without_era" ? 0 : this.era;
     return orderRevision({ era, revision: this.revision });
   }
 
-  private copy(): void {
-    const { stored, spoiledAs, revision } = this;
-    this.copies.push({ stored, spoiledAs, revision });
+  private takeSnapshot(): void {
+    const { stored, corruptRevision, revision } = this;
+    this.snapshots.push({ stored, corruptRevision, revision });
   }
 
-  /** The store comes back from an older copy, and gives out its revisions again. */
-  private goBack(choice: number): void {
-    const lost = 1 + choice % LARGEST_LOSS;
-    const kept = Math.max(1, this.copies.length - lost);
-    this.copies = this.copies.slice(0, kept);
-    const copy = this.copies.at(-1)!;
+  /** Rolls the store back to an older snapshot, after which it assigns the same revisions again. */
+  private rollBack(choice: number): void {
+    const lostCount = 1 + choice % MAX_LOST_SNAPSHOTS;
+    const keptCount = Math.max(1, this.snapshots.length - lostCount);
+    this.snapshots = this.snapshots.slice(0, keptCount);
+    const snapshot = this.snapshots.at(-1)!;
     this.era += 1;
-    this.revision = copy.revision;
-    this.spoiledAs = copy.spoiledAs === undefined
+    this.revision = snapshot.revision;
+    this.corruptRevision = snapshot.corruptRevision === undefined
       ? undefined
-      : this.reorder(copy.spoiledAs);
-    this.stored = copy.stored.withRevision(
-      this.reorder(copy.stored.revision),
+      : this.inCurrentEra(snapshot.corruptRevision);
+    this.stored = snapshot.stored.withRevision(
+      this.inCurrentEra(snapshot.stored.revision),
     );
   }
 
-  /** The place of a revision of a former era in the order of the present one. */
-  private reorder(order: number): number {
+  /** A revision of an earlier era as a revision of the current one. */
+  private inCurrentEra(revision: number): number {
     const era = this.fault === "order_without_era" ? 0 : this.era;
-    return orderRevision({ era, revision: bareOf(order) });
+    return orderRevision({ era, revision: revisionInEra(revision) });
   }
 
   private createHost(index: number): Host {
     return {
       name: `host-${index}`,
-      rate: DAEMON_RATES[index % DAEMON_RATES.length]!,
+      rate: DAEMON_CLOCK_RATES[index % DAEMON_CLOCK_RATES.length]!,
       server: this.createServer(),
-      ghost: undefined,
-      // All keys count as held by an earlier process for a while; these hosts had none.
+      formerHeartbeat: undefined,
+      // By default all keys count as held by an earlier process for some time; these hosts had none.
       grants: GrantTracker.create(-Infinity),
-      tenure: OwnershipLease.create(),
-      waits: TakeoverTimers.create(),
-      promises: ArbiterState.create(-Infinity),
-      instances: IncarnationTracker.create(),
-      repair: RepairTimer.create(),
-      restore: RestoreTimer.create(),
+      lease: OwnershipLease.create(),
+      takeoverTimers: TakeoverTimers.create(),
+      arbiterState: ArbiterState.create(-Infinity),
+      incarnations: IncarnationTracker.create(),
+      repairTimer: RepairTimer.create(),
+      restoreTimer: RestoreTimer.create(),
       era: 0,
       record: OwnershipRecord.create(),
       registration: 1,
       suspendedUntilMs: 0,
       suspendedForMs: 0,
       handovers: [],
-      life: 0,
+      restarts: 0,
     };
   }
 
-  /** @param instance the id of an earlier process that it keeps. */
+  /** @param instance the id of an earlier process, where the server keeps it. */
   private createServer(instance?: string): Server {
-    this.instances += 1;
+    this.serverCount += 1;
     return {
-      instance: instance ?? `instance-${this.instances}`,
-      born: this.instances,
+      instance: instance ?? `instance-${this.serverCount}`,
+      born: this.serverCount,
       sequence: 0,
       holds: RangeMap.create(),
       freed: [],
-      seen: 0,
+      maxToken: 0,
     };
   }
 
@@ -393,40 +405,42 @@
       })),
     );
     this.commit(this.stored);
-    this.hosts.forEach((host) => this.confirm(host, { thereMs: 0, backMs: 0 }));
+    this.hosts.forEach((host) =>
+      this.confirm(host, { requestDelayMs: 0, responseDelayMs: 0 })
+    );
     this.advance(1);
     this.hosts.forEach((host) =>
-      this.sendHeartbeat(host, { thereMs: 0, backMs: 0 })
+      this.sendHeartbeat(host, { requestDelayMs: 0, responseDelayMs: 0 })
     );
     this.advance(1);
   }
 
-  /** A daemon's clock; the good one goes on during suspensions. */
+  /** A daemon's clock, which continues during suspensions unless `steady_clock` is set. */
   private clockOf(host: Host): number {
     const lost = this.fault === "steady_clock" ? host.suspendedForMs : 0;
     return (this.nowMs - lost) * host.rate;
   }
 
-  private isAwake(host: Host): boolean {
+  private isRunning(host: Host): boolean {
     return this.nowMs >= host.suspendedUntilMs;
   }
 
-  private later(delayMs: number, act: () => void): void {
-    this.events.push({ atMs: this.nowMs + delayMs, act });
-    this.events.sort((left, right) => left.atMs - right.atMs);
+  private schedule(delayMs: number, run: () => void): void {
+    this.events.push({ dueAtMs: this.nowMs + delayMs, run });
+    this.events.sort((left, right) => left.dueAtMs - right.dueAtMs);
   }
 
-  /** Something happens at a daemon as soon as it is awake, unless it has restarted meanwhile. */
-  private at(host: Host, delayMs: number, act: () => void): void {
-    const { life } = host;
-    this.later(delayMs, () => {
-      if (host.life !== life) {
+  /** Schedules an action of a daemon: after its suspension, and not at all if it has restarted in the meantime. */
+  private scheduleOnHost(host: Host, delayMs: number, run: () => void): void {
+    const { restarts } = host;
+    this.schedule(delayMs, () => {
+      if (host.restarts !== restarts) {
         return;
       }
-      if (this.isAwake(host)) {
-        act();
+      if (this.isRunning(host)) {
+        run();
       } else {
-        this.at(host, host.suspendedUntilMs - this.nowMs, act);
+        this.scheduleOnHost(host, host.suspendedUntilMs - this.nowMs, run);
       }
     });
   }
@@ -434,14 +448,14 @@
   private advance(byMs: number): void {
     const untilMs = this.nowMs + byMs;
     while (this.nowMs < untilMs) {
-      const next = this.events[0]?.atMs ?? Infinity;
+      const next = this.events[0]?.dueAtMs ?? Infinity;
       this.nowMs = Math.min(
         untilMs,
         Math.max(this.nowMs, next),
-        this.nowMs + LONGEST_STEP_MS,
+        this.nowMs + MAX_TIME_STEP_MS,
       );
-      while ((this.events[0]?.atMs ?? Infinity) <= this.nowMs) {
-        this.events.shift()!.act();
+      while ((this.events[0]?.dueAtMs ?? Infinity) <= this.nowMs) {
+        this.events.shift()!.run();
       }
       this.check();
     }
@@ -449,7 +463,7 @@
 
   private sendHeartbeat(
     host: Host,
-    delays: { thereMs: number; backMs: number },
+    delays: { requestDelayMs: number; responseDelayMs: number },
   ): void {
     const { server } = host;
     const sentAtMs = this.nowMs;
@@ -465,25 +479,26 @@
       })),
       freed: [...server.freed],
     };
-    this.at(host, delays.thereMs, () => {
-      const grant = this.takeHeartbeat(host, heartbeat);
-      const isStale = this.nowMs + delays.backMs - sentAtMs > ANSWER_MS;
+    this.scheduleOnHost(host, delays.requestDelayMs, () => {
+      const grant = this.handleHeartbeat(host, heartbeat);
+      const isStale =
+        this.nowMs + delays.responseDelayMs - sentAtMs > RESPONSE_TIMEOUT_MS;
       if (grant === undefined || isStale || host.server !== server) {
         return;
       }
-      this.later(
-        delays.backMs,
+      this.schedule(
+        delays.responseDelayMs,
         () =>
           this.applyGrant(server, {
             grant,
             sentAtMs,
-            told: heartbeat.freed.length,
+            reportedCount: heartbeat.freed.length,
           }),
       );
     });
   }
 
-  private takeHeartbeat(
+  private handleHeartbeat(
     host: Host,
     sent: Heartbeat & {
       holds: readonly HeldRange[];
@@ -491,34 +506,38 @@
     },
   ): Grant | undefined {
     const nowMs = this.clockOf(host);
-    const heartbeat = this.fault === "id_names_process"
+    const heartbeat = this.fault === "id_identifies_process"
       ? { ...sent, born: undefined }
       : sent;
-    const verdict = host.instances.classify(heartbeat);
-    if (verdict.kind === "late") {
+    const status = host.incarnations.classify(heartbeat);
+    if (status.kind === "late") {
       return undefined;
     }
-    if (verdict.kind === "current") {
-      host.instances.accept(heartbeat, nowMs);
+    if (status.kind === "current") {
+      host.incarnations.accept(heartbeat, nowMs);
       host.grants.adoptTokens(heartbeat.holds, nowMs);
     } else {
-      // Whoever answers there tells its id, and not when it started.
+      // The response to the probe contains the server's id, but not its start time.
       const { instance } = host.server;
-      const succession = host.instances.classifySuccession(
+      const succession = host.incarnations.classifySuccession(
         heartbeat,
         { kind: "answered", instance, born: undefined },
-        { arrivedMs: nowMs, overdueMs: OVERDUE_MS, unresponsiveMs: SILENT_MS },
+        {
+          arrivedMs: nowMs,
+          overdueMs: HEARTBEAT_OVERDUE_MS,
+          unresponsiveMs: UNRESPONSIVE_MS,
+        },
       );
       if (succession === "rejected") {
         return undefined;
       }
-      host.instances.acceptSuccessor(heartbeat, { succession, nowMs });
+      host.incarnations.acceptSuccessor(heartbeat, { succession, nowMs });
       host.grants.recordNewIncarnation(succession === "proved");
     }
     host.grants.raiseTokens(heartbeat.holds);
     host.handovers.push(...host.grants.recordFreed(heartbeat.freed));
     return host.grants.createGrant({
-      maxHoldMs: host.tenure.maxHoldMs(nowMs),
+      maxHoldMs: host.lease.maxHoldMs(nowMs),
       nowMs,
       processingMs: 0,
     });
@@ -526,25 +545,25 @@
 
   private applyGrant(
     server: Server,
-    given: { grant: Grant; sentAtMs: number; told: number },
+    given: { grant: Grant; sentAtMs: number; reportedCount: number },
   ): void {
-    const { grant, sentAtMs, told } = given;
-    const isUp = this.hosts.some((host) => host.server === server);
-    if (!isUp || grant.holdMs <= 0) {
+    const { grant, sentAtMs, reportedCount } = given;
+    const isCurrent = this.hosts.some((host) => host.server === server);
+    if (!isCurrent || grant.holdMs <= 0) {
       return;
     }
-    server.freed = server.freed.slice(told);
+    server.freed = server.freed.slice(reportedCount);
     const before = [...server.holds.segments];
     server.holds.clear();
-    const untilMs = sentAtMs + grant.holdMs / (1 - SERVER_DRIFT);
+    const expiresAtMs = sentAtMs + grant.holdMs / (1 - SERVER_CLOCK_DRIFT);
     grant.ranges
       .filter(({ token }) => token >= 0)
       .forEach((range) => {
-        server.holds.set(range, { token: range.token, untilMs });
+        server.holds.set(range, { token: range.token, expiresAtMs });
         this.checkToken(server, range);
       });
     before
-      .filter(({ value }) => value.untilMs > this.nowMs)
+      .filter(({ value }) => value.expiresAtMs > this.nowMs)
       .forEach((segment) =>
         server.holds.gaps(segment).forEach((gap) =>
           server.freed.push({ ...gap, handover: `from ${server.instance}` })
@@ -552,9 +571,9 @@
       );
   }
 
-  /** A key must come with a higher token than any other incarnation has had it. */
+  /** A key must be granted with a higher token than any other incarnation has held it with. */
   private checkToken(server: Server, range: HeldRange): void {
-    const earlier = this.highest.within(range);
+    const earlier = this.highestTokens.within(range);
     const holder = `${server.instance} of ${server.born}`;
     earlier
       .filter(({ value }) =>
@@ -562,64 +581,72 @@
       )
       .forEach(({ from, value }) =>
         this.violations.push(
-          `${holder} takes key ${from} with token ${range.token} after ${value.holder} had ${value.token}`,
+          `${holder} holds key ${from} with token ${range.token} after ${value.holder} held it with ${value.token}`,
         )
       );
-    this.highest.set(range, { token: range.token, holder });
+    this.highestTokens.set(range, { token: range.token, holder });
   }
 
   private confirm(
     host: Host,
-    delays: { thereMs: number; backMs: number },
+    delays: { requestDelayMs: number; responseDelayMs: number },
   ): void {
-    if (!this.isAwake(host)) {
+    if (!this.isRunning(host)) {
       return;
     }
     const sentAtMs = this.clockOf(host);
-    const { life } = host;
-    this.later(delays.thereMs, () => {
+    const { restarts } = host;
+    this.schedule(delays.requestDelayMs, () => {
       if (this.nowMs < this.outageUntilMs) {
         return;
       }
-      const { stored, spoiledAs, era } = this;
-      const found = { stored, spoiledAs, era };
-      this.later(delays.backMs, () => {
-        if (host.life === life) {
-          this.at(host, 0, () => this.noteFound(host, found, sentAtMs));
+      const { stored, corruptRevision, era } = this;
+      const found = { stored, corruptRevision, era };
+      this.schedule(delays.responseDelayMs, () => {
+        if (host.restarts === restarts) {
+          this.scheduleOnHost(
+            host,
+            0,
+            () => this.handleRead(host, found, sentAtMs),
+          );
         }
       });
     });
   }
 
-  /** Asks another daemon, which gathers questions and reads, what the store holds. */
+  /** Confirms the lease by a shared read: another daemon collects requests, reads the store, and responds. */
   private confirmShared(
     host: Host,
-    read: { reader: Host; gatherMs: number; backMs: number },
+    read: { reader: Host; gatherMs: number; responseDelayMs: number },
   ): void {
-    if (!this.isAwake(host)) {
+    if (!this.isRunning(host)) {
       return;
     }
-    const { reader, gatherMs, backMs } = read;
-    const askedAtMs = this.clockOf(host);
-    const { life } = host;
-    const before = reader.record.revision;
-    this.at(reader, gatherMs, () => {
+    const { reader, gatherMs, responseDelayMs } = read;
+    const requestedAtMs = this.clockOf(host);
+    const { restarts } = host;
+    const previousRevision = reader.record.revision;
+    this.scheduleOnHost(reader, gatherMs, () => {
       if (this.nowMs < this.outageUntilMs) {
         return;
       }
-      const revision = this.fault === "read_before_question"
-        ? before
-        : this.spoiledAs ?? this.stored.revision;
-      this.later(backMs, () => {
+      const revision = this.fault === "read_before_request"
+        ? previousRevision
+        : this.corruptRevision ?? this.stored.revision;
+      this.schedule(responseDelayMs, () => {
         const isKnown = revision > 0 && host.record.revision >= revision;
-        if (host.life === life && isKnown) {
-          this.at(host, 0, () => this.noteRead(host, host.record, askedAtMs));
+        if (host.restarts === restarts && isKnown) {
+          this.scheduleOnHost(
+            host,
+            0,
+            () => this.handleRecord(host, host.record, requestedAtMs),
+          );
         }
       });
     });
   }
 
-  /** Names one or both of two hosts as arbiters. */
+  /** Appoints one or both of two hosts as arbiters. */
   private appoint(host: Host, names: { other: Host; choice: number }): void {
     const { other, choice } = names;
     const choices = [
@@ -631,31 +658,31 @@
     this.write(host, (record) => record.appoint(chosen), 2);
   }
 
-  /** Asks the arbiters that the host's tenure depends on for a promise. */
-  private ask(
+  /** Requests a promise from each arbiter that the host's lease depends on. */
+  private requestPromises(
     host: Host,
-    delays: { thereMs: number; backMs: number },
+    delays: { requestDelayMs: number; responseDelayMs: number },
   ): void {
-    if (!this.isAwake(host)) {
+    if (!this.isRunning(host)) {
       return;
     }
-    const askedAtMs = this.clockOf(host);
-    const { life } = host;
-    const { arbiters, confirmedRevision } = host.tenure;
-    const question = { owner: host.name, confirmedRevision };
-    const isAsked = ({ name }: Host) =>
+    const requestedAtMs = this.clockOf(host);
+    const { restarts } = host;
+    const { arbiters, confirmedRevision } = host.lease;
+    const request = { owner: host.name, confirmedRevision };
+    const isRequired = ({ name }: Host) =>
       arbiters.some(({ daemon }) => daemon === name);
-    this.hosts.filter(isAsked).forEach((arbiter) =>
-      this.at(arbiter, delays.thereMs, () => {
-        if (!this.mayPromise(arbiter, question)) {
+    this.hosts.filter(isRequired).forEach((arbiter) =>
+      this.scheduleOnHost(arbiter, delays.requestDelayMs, () => {
+        if (!this.mayPromise(arbiter, request)) {
           return;
         }
-        this.later(delays.backMs, () => {
-          if (host.life === life) {
-            this.at(
+        this.schedule(delays.responseDelayMs, () => {
+          if (host.restarts === restarts) {
+            this.scheduleOnHost(
               host,
               0,
-              () => this.notePromise(host, arbiter.name, askedAtMs),
+              () => this.recordPromise(host, arbiter.name, requestedAtMs),
             );
           }
         });
@@ -663,140 +690,140 @@
     );
   }
 
-  private mayPromise(arbiter: Host, question: PromiseRequest): boolean {
+  private mayPromise(arbiter: Host, request: PromiseRequest): boolean {
     switch (this.fault) {
-      case "promise_under_seal":
+      case "promise_to_sealed_owner":
         return true;
       case "promise_after_takeover":
         return arbiter.record.revision > 0 &&
-          !arbiter.record.isSealed(question.owner);
+          !arbiter.record.isSealed(request.owner);
       default:
-        return arbiter.promises.mayPromise(question, this.clockOf(arbiter));
+        return arbiter.arbiterState.mayPromise(request, this.clockOf(arbiter));
     }
   }
 
-  private notePromise(host: Host, from: string, askedAtMs: number): void {
-    const countedMs = this.fault === "promise_from_answer"
+  private recordPromise(host: Host, from: string, requestedAtMs: number): void {
+    const countedFromMs = this.fault === "promise_from_response"
       ? this.clockOf(host)
-      : askedAtMs;
-    const promised = this.fault === "any_promise"
-      ? host.tenure.arbiters.map(({ daemon }) => daemon)
+      : requestedAtMs;
+    const promised = this.fault === "one_promise_suffices"
+      ? host.lease.arbiters.map(({ daemon }) => daemon)
       : [from];
-    promised.forEach((name) => host.tenure.recordPromise(name, countedMs));
+    promised.forEach((name) => host.lease.recordPromise(name, countedFromMs));
   }
 
-  private noteFound(host: Host, found: Found, sentAtMs: number): void {
-    const { stored, spoiledAs, era } = found;
+  private handleRead(host: Host, found: ReadResult, sentAtMs: number): void {
+    const { stored, corruptRevision, era } = found;
     if (era < host.era) {
-      // It was under way when the store went back, and a later answer has overtaken it.
+      // The read was in flight during a rollback of the store, and the response to a later one has overtaken it.
       return;
     }
     host.era = era;
-    if (spoiledAs !== undefined) {
-      this.noteSpoiled(host, spoiledAs);
+    if (corruptRevision !== undefined) {
+      this.handleCorruptRecord(host, corruptRevision);
       return;
     }
-    if (stored.era !== era && this.fault !== "copy_in_force") {
-      host.restore.recordEarlierEra(stored.revision, this.clockOf(host));
+    if (stored.era !== era && this.fault !== "earlier_era_in_force") {
+      host.restoreTimer.recordEarlierEra(stored.revision, this.clockOf(host));
       return;
     }
-    this.noteRead(host, stored, sentAtMs);
+    this.handleRecord(host, stored, sentAtMs);
   }
 
-  private noteRead(
+  private handleRecord(
     host: Host,
     found: OwnershipRecord,
     sentAtMs: number,
   ): void {
-    host.repair.markReadable();
-    this.noteRecord(host, found);
+    host.repairTimer.markReadable();
+    this.applyRecord(host, found);
     const mayConfirm = this.fault === "restored_confirms_all" ||
-      host.tenure.mayConfirm(found, this.clockOf(host));
+      host.lease.mayConfirm(found, this.clockOf(host));
     if (!found.isSealed(host.name) && mayConfirm) {
-      if (this.fault !== "tokens_outlive_tenure") {
-        const hasExpired = host.tenure.hasExpired(this.clockOf(host));
+      if (this.fault !== "tokens_outlive_lease") {
+        const hasExpired = host.lease.hasExpired(this.clockOf(host));
         host.grants.recordConfirmation({
           revision: found.revision,
           hasExpired,
         });
       }
-      const fromAnswer = this.fault === "tenure_from_answer";
-      host.tenure.confirm(
-        fromAnswer ? this.clockOf(host) : sentAtMs,
+      const countsFromResponse = this.fault === "lease_from_response";
+      host.lease.confirm(
+        countsFromResponse ? this.clockOf(host) : sentAtMs,
         found,
       );
     }
   }
 
-  private noteSpoiled(host: Host, revision: number): void {
+  private handleCorruptRecord(host: Host, revision: number): void {
     if (revision > 0 || host.record.revision > 0) {
-      host.repair.markCorrupt(revision, this.clockOf(host));
+      host.repairTimer.markCorrupt(revision, this.clockOf(host));
     }
   }
 
-  /** Replaces a spoiled record by the last one that the host has read. */
-  private repair(host: Host, lateMs: number): void {
+  /** Replaces a corrupt record by the last one that the host has read. */
+  private repair(host: Host, delayMs: number): void {
     const due = this.fault === "repair_at_once"
-      ? this.spoiledAs
-      : host.repair.findReplaceableRevision(this.clockOf(host));
-    if (due === undefined || !this.isAwake(host)) {
+      ? this.corruptRevision
+      : host.repairTimer.findReplaceableRevision(this.clockOf(host));
+    if (due === undefined || !this.isRunning(host)) {
       return;
     }
     const { record } = host;
-    this.later(lateMs, () => {
-      if (this.nowMs >= this.outageUntilMs && this.spoiledAs === due) {
+    this.schedule(delayMs, () => {
+      if (this.nowMs >= this.outageUntilMs && this.corruptRevision === due) {
         this.commit(record.withEra(this.era));
       }
     });
   }
 
-  /** Puts back the newest record that the host knows after the store has gone back; the copy where it knows none. */
-  private restore(host: Host, lateMs: number): void {
-    const due = host.restore.findReplaceableRevision(this.clockOf(host));
-    if (due === undefined || !this.isAwake(host)) {
+  /** Restores the newest record that the host has after a rollback of the store; the store's record where it has none. */
+  private restore(host: Host, delayMs: number): void {
+    const due = host.restoreTimer.findReplaceableRevision(this.clockOf(host));
+    if (due === undefined || !this.isRunning(host)) {
       return;
     }
     const { era } = host;
     const known = host.record.revision > 0 ? host.record : this.stored;
-    this.later(lateMs, () => {
-      const isInForce = this.spoiledAs === undefined &&
-        bareOf(this.stored.revision) === bareOf(due);
+    this.schedule(delayMs, () => {
+      const isInForce = this.corruptRevision === undefined &&
+        revisionInEra(this.stored.revision) === revisionInEra(due);
       if (this.nowMs >= this.outageUntilMs && isInForce) {
         this.commit(known.restoredIn(era));
       }
     });
   }
 
-  /** Puts a record that was put back in force, once nobody holds keys by a lost one. */
+  /** Gives a restored record full effect, once no backend server holds keys by a lost one. */
   private settle(host: Host): void {
     const isSettled = this.fault === "settle_at_once" ||
-      host.restore.isSettled(this.clockOf(host));
+      host.restoreTimer.isSettled(this.clockOf(host));
     if (host.record.isRestored && isSettled) {
       this.write(host, (record) => record.settle(), 2);
     }
   }
 
-  private noteRecord(host: Host, record: OwnershipRecord): void {
+  private applyRecord(host: Host, record: OwnershipRecord): void {
     if (record.revision < host.record.revision) {
       return;
     }
-    host.restore.recordCurrentEra(record, this.clockOf(host));
+    host.restoreTimer.recordCurrentEra(record, this.clockOf(host));
     host.record = record;
-    const sealedOwners = this.fault === "nameless_seal"
+    const sealedOwners = this.fault === "reused_seal_id"
       ? record.sealedOwners.map(({ daemon }) => ({
         daemon,
         seal: this.hosts.findIndex(({ name }) => name === daemon) + 1,
       }))
       : record.sealedOwners;
-    const arbiters = this.fault === "nameless_office"
+    const arbiters = this.fault === "reused_appointment_id"
       ? record.arbiters.map(({ daemon }) => ({ daemon, appointmentId: 1 }))
       : record.arbiters;
-    host.waits.observe({ sealedOwners, arbiters }, this.clockOf(host));
-    host.promises.observe(record);
+    host.takeoverTimers.observe({ sealedOwners, arbiters }, this.clockOf(host));
+    host.arbiterState.observe(record);
     const revision = this.fault === "tokens_from_record"
       ? record.revision
       : Math.max(record.revision, host.registration);
-    const inForce = this.fault === "restored_in_force"
+    const inForce = this.fault === "restored_grants_keys"
       ? record.settle()
       : record;
     host.grants.applyRecord(inForce, { daemon: host.name, revision });
@@ -804,12 +831,12 @@
 
   private publish(
     host: Host,
-    write: { to: Host; lateMs: number },
+    write: { to: Host; delayMs: number },
   ): void {
-    if (!this.isAwake(host)) {
+    if (!this.isRunning(host)) {
       return;
     }
-    const released = this.fault === "release_unfreed"
+    const released = this.fault === "release_before_freed"
       ? host.record.rangesOf(host.name).slice(0, 1)
       : host.grants.findReleased(this.clockOf(host));
     const mine = released.flatMap((range) =>
@@ -832,7 +859,7 @@
           handover: "",
         })),
       );
-    this.write(host, change, write.lateMs);
+    this.write(host, change, write.delayMs);
   }
 
   private takeOver(host: Host, lost: Host): void {
@@ -861,112 +888,119 @@
     takeover: { seal: number; lost: Host; nowMs: number },
   ): boolean {
     const { seal, lost, nowMs } = takeover;
-    const office = host.record.findArbiter(host.name);
+    const appointment = host.record.findArbiter(host.name);
     switch (this.fault) {
       case "takeover_at_once":
         return true;
       case "takeover_without_drift":
-        return host.waits.hasLeaseEnded(seal, nowMs + 300);
-      case "nameless_seal":
-        return host.waits.hasLeaseEnded(
+        return host.takeoverTimers.hasLeaseEnded(seal, nowMs + 300);
+      case "reused_seal_id":
+        return host.takeoverTimers.hasLeaseEnded(
           this.hosts.indexOf(lost) + 1,
           nowMs,
-          office,
+          appointment,
         );
-      case "arbiter_at_once":
-        return host.waits.hasLeaseEnded(seal, nowMs, office) ||
-          office !== undefined &&
-            host.waits.hasLeaseEnded(
+      case "arbiter_without_wait":
+        return host.takeoverTimers.hasLeaseEnded(seal, nowMs, appointment) ||
+          appointment !== undefined &&
+            host.takeoverTimers.hasLeaseEnded(
               seal,
               nowMs + TAKEOVER_WAIT_MS - ARBITER_WAIT_MS,
             );
-      case "nameless_office":
-        return host.waits.hasLeaseEnded(
+      case "reused_appointment_id":
+        return host.takeoverTimers.hasLeaseEnded(
           seal,
           nowMs,
-          office === undefined ? undefined : { ...office, appointmentId: 1 },
+          appointment === undefined
+            ? undefined
+            : { ...appointment, appointmentId: 1 },
         );
       default:
-        return host.waits.hasLeaseEnded(seal, nowMs, office);
+        return host.takeoverTimers.hasLeaseEnded(seal, nowMs, appointment);
     }
   }
 
-  /** A compare-and-swap that takes effect later, if its condition still holds then. */
+  /** A compare-and-swap that takes effect after a delay, if its condition still holds then. */
   private write(
     host: Host,
     change: (record: OwnershipRecord) => OwnershipRecord | undefined,
-    lateMs: number,
+    delayMs: number,
   ): void {
-    if (!this.isAwake(host)) {
+    if (!this.isRunning(host)) {
       return;
     }
     const known = host.record;
     const { era } = host;
     const changed = change(known)?.withEra(era);
-    const isOfFormerEra = known.era !== era &&
-      this.fault !== "order_without_era" && this.fault !== "copy_in_force";
-    if (changed === undefined || isOfFormerEra) {
+    const isOfEarlierEra = known.era !== era &&
+      this.fault !== "order_without_era" &&
+      this.fault !== "earlier_era_in_force";
+    if (changed === undefined || isOfEarlierEra) {
       return;
     }
-    this.later(lateMs, () => {
+    this.schedule(delayMs, () => {
       const isDown = this.nowMs < this.outageUntilMs;
-      // The store knows its own revisions only, and may have given this one out again.
-      const isInForce = this.spoiledAs === undefined &&
-        bareOf(this.stored.revision) === bareOf(known.revision);
+      // The store compares its own revisions only, and may have assigned this one again after a rollback.
+      const isInForce = this.corruptRevision === undefined &&
+        revisionInEra(this.stored.revision) === revisionInEra(known.revision);
       if (!isDown && isInForce) {
         this.commit(changed);
         const written = this.stored;
-        const isOfEra = era === this.era;
-        this.at(host, 2, () => isOfEra && this.noteRecord(host, written));
+        const isOfCurrentEra = era === this.era;
+        this.scheduleOnHost(
+          host,
+          2,
+          () => isOfCurrentEra && this.applyRecord(host, written),
+        );
       }
     });
   }
 
   private commit(record: OwnershipRecord): void {
     this.revision += 1;
-    this.stored = record.withRevision(this.order());
-    this.spoiledAs = undefined;
-    this.copy();
+    this.stored = record.withRevision(this.currentRevision());
+    this.corruptRevision = undefined;
+    this.takeSnapshot();
   }
 
   private replaceServer(host: Host, server: Server): void {
     const { instance, born, sequence } = host.server;
-    host.ghost = { instance, born, sequence: sequence + 1 };
+    host.formerHeartbeat = { instance, born, sequence: sequence + 1 };
     host.server = server;
-    const ghost = host.ghost;
-    // A heartbeat of the earlier incarnation that was held up arrives after the new one's.
-    this.at(host, 900, () => {
-      this.takeHeartbeat(host, { ...ghost, holds: [], freed: [] });
+    const formerHeartbeat = host.formerHeartbeat;
+    // A delayed heartbeat of the previous incarnation arrives after those of the new one.
+    this.scheduleOnHost(host, 900, () => {
+      this.handleHeartbeat(host, { ...formerHeartbeat, holds: [], freed: [] });
     });
   }
 
   private restartDaemon(host: Host): void {
-    host.life += 1;
+    host.restarts += 1;
     const nowMs = this.clockOf(host);
     host.grants = GrantTracker.create(
-      this.fault === "forgetful_restart" ? -Infinity : nowMs,
+      this.fault === "restart_without_holds" ? -Infinity : nowMs,
     );
-    host.tenure = OwnershipLease.create(nowMs);
-    host.waits = TakeoverTimers.create();
-    host.promises = ArbiterState.create(
+    host.lease = OwnershipLease.create(nowMs);
+    host.takeoverTimers = TakeoverTimers.create();
+    host.arbiterState = ArbiterState.create(
       this.fault === "promise_after_restart" ? -Infinity : nowMs,
     );
-    host.instances = IncarnationTracker.create();
-    host.repair = RepairTimer.create();
-    host.restore = RestoreTimer.create();
+    host.incarnations = IncarnationTracker.create();
+    host.repairTimer = RepairTimer.create();
+    host.restoreTimer = RestoreTimer.create();
     host.record = OwnershipRecord.create();
     host.handovers = [];
     this.revision += 1;
     host.era = this.era;
-    host.registration = this.order();
-    host.promises.recordStartRevision(host.registration);
-    this.copy();
-    this.confirm(host, { thereMs: 2, backMs: 2 });
+    host.registration = this.currentRevision();
+    host.arbiterState.recordStartRevision(host.registration);
+    this.takeSnapshot();
+    this.confirm(host, { requestDelayMs: 2, responseDelayMs: 2 });
   }
 
   private holdsOf(host: Host) {
     return host.server.holds.segments.filter(({ value }) =>
-      value.untilMs > this.nowMs
+      value.expiresAtMs > this.nowMs
     );
   }
 
@@ -990,7 +1024,7 @@
   }
 }
 
-/** The store's own revision of a place in the order over all eras. */
-function bareOf(order: number): number {
-  return order % FIRST_OF_NEXT_ERA;
+/** The store's own revision, from a revision in the order across all eras. */
+function revisionInEra(revision: number): number {
+  return revision % REVISIONS_PER_ERA;
 }
