--- a/packages/keyspace/src/ownership_safety_test.ts
+++ b/packages/keyspace/src/ownership_safety_test.ts
@@ -1,6 +1,6 @@
 /**
- * Property tests of sole ownership over random schedules, and of the properties themselves: each broken
- * variant of a rule must be noticed.
+ * Property tests of exclusive ownership over random schedules, and of the properties themselves: each broken variant of a
+ * rule must be detected.
  *
  * @module
  */
@@ -16,10 +16,10 @@
 
 const SEED = 20_261_203;
 const RUNS = 400;
-/** Schedules in which a planted fault must show at the latest. */
-const RUNS_FOR_A_FAULT = 6_000;
+/** Number of schedules within which an injected fault must be detected. */
+const RUNS_PER_FAULT = 6_000;
 
-const number = fc.nat(700);
+const milliseconds = fc.nat(700);
 
 function step(
   kind: StepKind,
@@ -28,18 +28,18 @@
   return fc.record({
     kind: fc.constant(kind),
     host: limits.host ?? fc.nat(5),
-    a: limits.a ?? number,
-    b: number,
+    a: limits.a ?? milliseconds,
+    b: milliseconds,
   });
 }
 
-/** One exact step. */
+/** A step without random parts. */
 function exactly(kind: StepKind, host: number, a = 1, b = 0): Step {
   return { kind, host, a, b };
 }
 
-/** The first host takes a sealed owner over, and is granted its keys. */
-const TAKEN_OVER: readonly Step[] = [
+/** The first host takes a sealed owner over and is granted its keys. */
+const TAKEOVER_STEPS: readonly Step[] = [
   exactly("take_over", 0),
   exactly("advance", 0, 3),
   exactly("confirm", 0),
@@ -48,29 +48,31 @@
   exactly("advance", 0, 20),
 ];
 
-/** A spoiled record stands still all that ownership could do next, so it comes in a sequence that mends it. */
-const EVERYDAY_KINDS = STEP_KINDS.filter((kind) => kind !== "corrupt");
+/** A corrupt record blocks all changes of ownership, so it occurs only in a sequence that repairs it. */
+const KINDS_WITHOUT_CORRUPTION = STEP_KINDS.filter((kind) =>
+  kind !== "corrupt"
+);
 
-const anything = fc.constantFrom(...EVERYDAY_KINDS)
+const anyStep = fc.constantFrom(...KINDS_WITHOUT_CORRUPTION)
   .chain((kind) => step(kind))
   .map((one) => [one]);
 
-/** All is well for a moment: everybody confirms and is heard. */
-const calm = fc.constant(
+/** No fault for some time: all hosts confirm their leases and receive heartbeats. */
+const faultFree = fc.constant(
   [0, 1, 2, 3].flatMap((host): Step[] => [
     { kind: "confirm", host, a: 2, b: 1 },
     { kind: "heartbeat", host, a: 1, b: 1 },
   ]).concat([{ kind: "advance", host: 0, a: 100, b: 0 }]),
 );
 
-/** Somebody is sealed, and taken over at the first moment that may be right. */
+/** An owner is sealed, and taken over at the earliest time that may be allowed. */
 const takeover = fc.nat(3).chain((host) =>
   fc.tuple(
     step("confirm", { host: fc.constant(host) }),
     step("advance", { a: fc.nat(20) }),
     step("seal", { host: fc.constant(host) }),
     step("advance", { a: fc.constant(3) }),
-    anything.map(([one]) => one!),
+    anyStep.map(([one]) => one!),
     step("advance", { a: fc.integer({ min: 2_540, max: 2_600 }) }),
     step("take_over", { host: fc.constant(host) }),
     step("advance", { a: fc.constant(3) }),
@@ -81,13 +83,13 @@
   )
 );
 
-/** Keys are handed over, with whatever happens in between. */
+/** Keys are handed over, with an arbitrary step in between. */
 const handover = fc.nat(3).chain((host) =>
   fc.tuple(
     step("release", { host: fc.constant(host) }),
     step("heartbeat", { host: fc.constant(host) }),
     step("advance", { a: fc.nat(30) }),
-    anything.map(([one]) => one!),
+    anyStep.map(([one]) => one!),
     step("heartbeat", { host: fc.constant(host) }),
     step("advance", { a: fc.nat(30) }),
     step("publish", { host: fc.constant(host) }),
@@ -95,7 +97,7 @@
   )
 );
 
-/** The backend server and its daemon are replaced. */
+/** The backend server and its daemon are restarted. */
 const replacement = fc.nat(3).chain((host) =>
   fc.tuple(
     step("crash_server", { host: fc.constant(host) }),
@@ -106,8 +108,8 @@
   )
 );
 
-/** The backend server starts again under its id, perhaps while keys are given up. */
-const sameId = fc.tuple(fc.nat(3), fc.boolean(), fc.nat(600)).map((
+/** The backend server restarts with the same id, possibly while keys are being released. */
+const restartWithSameId = fc.tuple(fc.nat(3), fc.boolean(), fc.nat(600)).map((
   [host, releases, wait],
 ) => [
   exactly("heartbeat", host),
@@ -124,39 +126,42 @@
   exactly("advance", 0, 3),
 ]);
 
-/** An owner that is heard but can't confirm is taken over as its tenure ends. */
-const lastMoment = fc.tuple(fc.nat(30), fc.integer({ min: 540, max: 700 }))
-  .map(([early, late]) => [
+/** An owner that sends heartbeats but can't confirm its lease is taken over as the lease ends. */
+const takeoverAtLeaseEnd = fc.tuple(
+  fc.nat(30),
+  fc.integer({ min: 540, max: 700 }),
+)
+  .map(([early, extra]) => [
     exactly("confirm", 1),
     exactly("advance", 0, 1),
     exactly("seal", 0),
     exactly("advance", 0, 1),
     exactly("advance", 0, 1_870 + early),
     exactly("heartbeat", 1),
-    exactly("advance", 0, late),
-    ...TAKEN_OVER,
+    exactly("advance", 0, extra),
+    ...TAKEOVER_STEPS,
   ]);
 
-/** The answer to an owner's read comes late; it is sealed meanwhile, and taken over at the first moment. */
-const slowRead = fc.tuple(fc.integer({ min: 400, max: 700 }), fc.nat(40))
-  .map(([backMs, late]) => [
-    exactly("confirm", 1, 1, backMs),
+/** The response to an owner's read is delayed; meanwhile it is sealed, and then taken over at the earliest time. */
+const delayedRead = fc.tuple(fc.integer({ min: 400, max: 700 }), fc.nat(40))
+  .map(([responseDelayMs, extra]) => [
+    exactly("confirm", 1, 1, responseDelayMs),
     exactly("advance", 0, 1),
     exactly("seal", 0),
     exactly("advance", 0, 1),
     exactly("advance", 0, 2_530),
     exactly("heartbeat", 1),
-    exactly("advance", 0, 5 + late),
-    ...TAKEN_OVER,
+    exactly("advance", 0, 5 + extra),
+    ...TAKEOVER_STEPS,
   ]);
 
-/** Another daemon reads for an owner, which is sealed and taken over at the first moment. */
+/** An owner confirms by a shared read, while it is sealed and taken over at the earliest time. */
 const sharedRead = fc.tuple(
   fc.nat(40),
   fc.nat(399),
   fc.integer({ min: 100, max: 400 }),
 ).map((
-  [late, gather, more],
+  [extra, gather, more],
 ) => [
   ...[0, 1, 2, 3].map((host) => exactly("confirm", host)),
   exactly("advance", 0, 1),
@@ -165,11 +170,11 @@
   exactly("shared_confirm", 1, gather, 0),
   exactly("advance", 0, 2_530 - more),
   exactly("heartbeat", 1),
-  exactly("advance", 0, 5 + late),
-  ...TAKEN_OVER,
+  exactly("advance", 0, 5 + extra),
+  ...TAKEOVER_STEPS,
 ]);
 
-/** An owner removes a seal, and is sealed again before the first who sealed it has looked. */
+/** An owner removes a seal, and is sealed again before the first sealing host has read the record in between. */
 const sealedTwice = fc.tuple(fc.nat(200), fc.nat(40))
   .map(([wait, more]) => [
     exactly("confirm", 0),
@@ -190,11 +195,13 @@
     exactly("advance", 0, 560 + wait),
     exactly("heartbeat", 1),
     exactly("advance", 0, more),
-    ...TAKEN_OVER,
+    ...TAKEOVER_STEPS,
   ]);
 
-/** Keys are given up just after the daemon, or its backend server, was replaced. */
-const hasty = fc.tuple(fc.boolean(), fc.nat(260)).map(([crashes, wait]) => [
+/** Keys are released just after the daemon, or its backend server, was restarted. */
+const releaseAfterRestart = fc.tuple(fc.boolean(), fc.nat(260)).map((
+  [crashes, wait],
+) => [
   exactly("heartbeat", 0),
   exactly("advance", 0, 2),
   ...(crashes
@@ -217,8 +224,8 @@
   exactly("advance", 0, 20),
 ]);
 
-/** All confirm and are heard for so many seconds. */
-function live(seconds: number): Step[] {
+/** All hosts confirm their leases and receive heartbeats for the given time. */
+function runNormally(seconds: number): Step[] {
   const round = [0, 1, 2, 3].flatMap((host): Step[] => [
     exactly("confirm", host),
     exactly("heartbeat", host),
@@ -229,40 +236,43 @@
   ).flat();
 }
 
-/** An arbiter seals an owner, and takes it over at the first moment that may be right. */
-function quickTakeover(
-  late: { heartbeatAfter: number; askedAfter: number; more: number },
+/** An arbiter seals an owner, and takes it over at the earliest time that may be allowed. */
+function earliestArbiterTakeover(
+  timing: { heartbeatAfter: number; requestedAfter: number; more: number },
 ): Step[] {
-  const { heartbeatAfter, askedAfter, more } = late;
-  const left = 1_030 - heartbeatAfter - askedAfter;
+  const { heartbeatAfter, requestedAfter, more } = timing;
+  const remaining = 1_030 - heartbeatAfter - requestedAfter;
   return [
     exactly("confirm", 1),
     exactly("advance", 0, 1),
     exactly("seal", 0),
     exactly("advance", 0, 1),
-    exactly("advance", 0, askedAfter),
+    exactly("advance", 0, requestedAfter),
     exactly("request_promises", 1, 1, 0),
     exactly("advance", 0, heartbeatAfter),
     exactly("heartbeat", 1),
-    exactly("advance", 0, Math.max(1, left + more)),
-    ...TAKEN_OVER,
+    exactly("advance", 0, Math.max(1, remaining + more)),
+    ...TAKEOVER_STEPS,
   ];
 }
 
-const quickMoments = fc.record({
+const takeoverTimings = fc.record({
   heartbeatAfter: fc.nat(20),
-  askedAfter: fc.integer({ min: 900, max: 1_000 }),
+  requestedAfter: fc.integer({ min: 900, max: 1_000 }),
   more: fc.nat(20),
 });
 
-/** An owner that can't read the store asks for promises after it was taken over, perhaps by a restarted arbiter. */
-const missedTakeover = fc.tuple(fc.boolean(), quickMoments).map((
-  [restarts, late],
+/**
+ * An owner that can't read the store requests promises after it was taken over, possibly by an arbiter that has restarted
+ * since.
+ */
+const unobservedTakeover = fc.tuple(fc.boolean(), takeoverTimings).map((
+  [restarts, timing],
 ) => [
   exactly("appoint", 0, 0, 1),
   exactly("advance", 0, 2),
-  ...live(11),
-  ...quickTakeover(late),
+  ...runNormally(11),
+  ...earliestArbiterTakeover(timing),
   ...(restarts
     ? [
       exactly("restart_daemon", 0),
@@ -277,12 +287,12 @@
   exactly("advance", 0, 20),
 ]);
 
-/** Keys are taken over and given back, and their first owner has missed both. */
-const missedReturn = quickMoments.map((late) => [
+/** Keys are taken over and returned, and their first owner has observed neither. */
+const unobservedReturn = takeoverTimings.map((timing) => [
   exactly("appoint", 0, 0, 1),
   exactly("advance", 0, 2),
-  ...live(11),
-  ...quickTakeover(late),
+  ...runNormally(11),
+  ...earliestArbiterTakeover(timing),
   exactly("release", 0),
   exactly("advance", 0, 2_540),
   exactly("publish", 0, 1, 1),
@@ -293,44 +303,46 @@
   exactly("advance", 0, 20),
 ]);
 
-/** With one arbiter, or two of which the second has not heard of the seal. */
-const arbiter = fc.tuple(fc.nat(1), quickMoments).map(([choice, late]) => [
+/** A takeover with one arbiter, or with two of which the second has not observed the seal. */
+const arbiterTakeover = fc.tuple(fc.nat(1), takeoverTimings).map((
+  [choice, timing],
+) => [
   exactly("appoint", 0, choice, 1),
   exactly("advance", 0, 2),
-  ...live(11),
-  ...quickTakeover(late),
+  ...runNormally(11),
+  ...earliestArbiterTakeover(timing),
 ]);
 
-/** An owner reads the record before the arbiter is named. */
-const newArbiter = quickMoments.map((late) => [
-  ...live(1),
+/** An owner reads the record before the arbiter is appointed. */
+const newArbiter = takeoverTimings.map((timing) => [
+  ...runNormally(1),
   exactly("appoint", 0, 0, 1),
   exactly("advance", 0, 2),
   exactly("seal", 0),
   exactly("advance", 0, 1),
-  ...quickTakeover({ ...late, askedAfter: 700 }).slice(4),
+  ...earliestArbiterTakeover({ ...timing, requestedAfter: 700 }).slice(4),
 ]);
 
-/** A promise is asked for before the seal, and comes late. */
-const latePromise = fc.tuple(
+/** A promise is requested before the seal, and the response is delayed. */
+const delayedPromise = fc.tuple(
   fc.integer({ min: 500, max: 700 }),
-  quickMoments,
-).map(([backMs, late]) => [
+  takeoverTimings,
+).map(([responseDelayMs, timing]) => [
   exactly("appoint", 0, 0, 1),
   exactly("advance", 0, 2),
-  ...live(11),
+  ...runNormally(11),
   exactly("confirm", 1),
   exactly("advance", 0, 1),
-  exactly("request_promises", 1, 1, backMs),
+  exactly("request_promises", 1, 1, responseDelayMs),
   exactly("advance", 0, 1),
-  ...quickTakeover(late).slice(2),
+  ...earliestArbiterTakeover(timing).slice(2),
 ]);
 
-/** An arbiter is none for a moment, in which an owner reads the record. */
-const formerArbiter = quickMoments.map((late) => [
+/** An arbiter is dismissed and appointed again, and an owner reads the record in between. */
+const reappointedArbiter = takeoverTimings.map((timing) => [
   exactly("appoint", 0, 0, 1),
   exactly("advance", 0, 2),
-  ...live(11),
+  ...runNormally(11),
   exactly("appoint", 2, 0, 0),
   exactly("advance", 0, 2),
   exactly("confirm", 1),
@@ -339,18 +351,18 @@
   exactly("advance", 0, 2),
   exactly("confirm", 0),
   exactly("advance", 0, 2),
-  ...quickTakeover(late).slice(2),
+  ...earliestArbiterTakeover(timing).slice(2),
 ]);
 
 /**
- * Keys move, a daemon misses that, and another writer spoils the record; the daemon writes back what it knows, as early
- * as it may.
+ * Keys move, which a daemon does not observe, and another writer corrupts the record; the daemon writes the last record
+ * that it has read back at the earliest time.
  */
-const spoiled = fc.tuple(
+const corruptedRecord = fc.tuple(
   fc.nat(1),
   fc.nat(40),
   fc.integer({ min: 2_520, max: 2_620 }),
-  anything,
+  anyStep,
 ).map(([kind, more, wait, between]) => [
   exactly("heartbeat", 0),
   exactly("advance", 0, 2),
@@ -383,8 +395,8 @@
   exactly("advance", 0, 20),
 ]);
 
-/** The copies that a host knows of are put back as early as may be, and settled as early as may be. */
-function restoreBy(host: number): Step[] {
+/** A host restores its newest record at the earliest time, and reads it. */
+function restoreOn(host: number): Step[] {
   return [
     exactly("confirm", host),
     exactly("advance", 0, 180),
@@ -395,8 +407,8 @@
   ];
 }
 
-/** One host alone reads, and is heard. */
-function hear(host: number): Step[] {
+/** One host confirms its lease and receives a heartbeat. */
+function refresh(host: number): Step[] {
   return [
     exactly("confirm", host),
     exactly("advance", 0, 3),
@@ -405,8 +417,8 @@
   ];
 }
 
-/** All read, and are heard. */
-function hearAll(): Step[] {
+/** All hosts confirm their leases and receive heartbeats. */
+function refreshAll(): Step[] {
   return [
     ...[0, 1, 2, 3].map((host) => exactly("confirm", host)),
     exactly("advance", 0, 3),
@@ -415,12 +427,12 @@
   ];
 }
 
-/** Keys move, and the store loses that; a host that has missed it puts back what it knows. */
+/** Keys move, and the store loses that; a host that has not observed the move restores its record. */
 const lostMove = fc.tuple(
   fc.nat(2),
   fc.nat(40),
   fc.integer({ min: 1, max: 2_700 }),
-  anything,
+  anyStep,
 ).map(([by, more, wait, between]) => [
   exactly("heartbeat", 0),
   exactly("advance", 0, 2),
@@ -431,35 +443,35 @@
   exactly("advance", 0, 2),
   exactly("publish", 0, 1, 0),
   exactly("advance", 0, 3),
-  ...hear(1),
+  ...refresh(1),
   exactly("roll_back", 0, 0),
-  ...restoreBy(by),
+  ...restoreOn(by),
   exactly("settle", by),
   exactly("advance", 0, 3),
-  ...hear(0),
+  ...refresh(0),
   exactly("heartbeat", 1),
   exactly("advance", 0, more),
-  ...hearAll(),
+  ...refreshAll(),
   ...between,
   exactly("advance", 0, wait),
   exactly("settle", by),
   exactly("advance", 0, 3),
-  ...hearAll(),
+  ...refreshAll(),
 ]);
 
-/** An owner is taken over and the store loses that; the owner, which was suspended, wakes after the return. */
+/** An owner is taken over, and the store loses that; the owner resumes from a suspension after the rollback. */
 const lostTakeover = fc.tuple(
   fc.nat(2),
   fc.nat(3),
   fc.integer({ min: 1, max: 2_700 }),
-  anything,
+  anyStep,
 ).map(([by, lost, wait, between]) => [
   exactly("confirm", 1),
   exactly("advance", 0, 1),
   exactly("suspend", 1, 560),
   exactly("seal", 0),
   exactly("advance", 0, 2_600),
-  ...TAKEN_OVER,
+  ...TAKEOVER_STEPS,
   exactly("confirm", 0),
   exactly("advance", 0, 3),
   exactly("heartbeat", 0),
@@ -467,58 +479,58 @@
   exactly("roll_back", 0, lost),
   exactly("restart_daemon", by),
   exactly("advance", 0, 3),
-  ...restoreBy(by),
+  ...restoreOn(by),
   exactly("advance", 0, 120),
-  ...hear(1),
-  ...hearAll(),
+  ...refresh(1),
+  ...refreshAll(),
   ...between,
   exactly("advance", 0, wait),
   exactly("settle", by),
   exactly("advance", 0, 3),
-  ...hearAll(),
+  ...refreshAll(),
 ]);
 
-/** An office is given to another arbiter, and the store loses that; the former arbiter has missed it. */
-const lostOffice = quickMoments.map((late) => [
+/** Another arbiter is appointed, and the store loses that; the former arbiter has not observed it. */
+const lostAppointment = takeoverTimings.map((timing) => [
   exactly("appoint", 0, 0, 1),
   exactly("advance", 0, 2),
-  ...live(11),
+  ...runNormally(11),
   exactly("appoint", 2, 2, 0),
   exactly("advance", 0, 2),
   exactly("confirm", 1),
   exactly("advance", 0, 2),
   exactly("roll_back", 0, 0),
-  ...restoreBy(0),
+  ...restoreOn(0),
   exactly("seal", 0),
   exactly("advance", 0, 1),
-  ...quickTakeover(late).slice(4),
+  ...earliestArbiterTakeover(timing).slice(4),
 ]);
 
-const schedule = fc.record({
+const schedules = fc.record({
   size: fc.integer({ min: 2, max: 4 }),
   steps: fc.array(
     fc.oneof(
-      { weight: 4, arbitrary: anything },
-      { weight: 3, arbitrary: calm },
+      { weight: 4, arbitrary: anyStep },
+      { weight: 3, arbitrary: faultFree },
       { weight: 2, arbitrary: takeover },
       { weight: 2, arbitrary: handover },
       { weight: 1, arbitrary: replacement },
-      { weight: 1, arbitrary: sameId },
-      { weight: 1, arbitrary: lastMoment },
-      { weight: 1, arbitrary: slowRead },
+      { weight: 1, arbitrary: restartWithSameId },
+      { weight: 1, arbitrary: takeoverAtLeaseEnd },
+      { weight: 1, arbitrary: delayedRead },
       { weight: 1, arbitrary: sharedRead },
       { weight: 1, arbitrary: sealedTwice },
-      { weight: 1, arbitrary: hasty },
-      { weight: 1, arbitrary: missedReturn },
-      { weight: 1, arbitrary: arbiter },
-      { weight: 1, arbitrary: missedTakeover },
+      { weight: 1, arbitrary: releaseAfterRestart },
+      { weight: 1, arbitrary: unobservedReturn },
+      { weight: 1, arbitrary: arbiterTakeover },
+      { weight: 1, arbitrary: unobservedTakeover },
       { weight: 1, arbitrary: newArbiter },
-      { weight: 1, arbitrary: latePromise },
-      { weight: 1, arbitrary: formerArbiter },
-      { weight: 1, arbitrary: spoiled },
+      { weight: 1, arbitrary: delayedPromise },
+      { weight: 1, arbitrary: reappointedArbiter },
+      { weight: 1, arbitrary: corruptedRecord },
       { weight: 1, arbitrary: lostMove },
       { weight: 1, arbitrary: lostTakeover },
-      { weight: 1, arbitrary: lostOffice },
+      { weight: 1, arbitrary: lostAppointment },
     ),
     { maxLength: 25 },
   ).map((parts) => parts.flat()),
@@ -526,26 +538,26 @@
 
 function findViolation(fault: Fault | undefined, runs: number): string[] {
   const found: string[] = [];
-  const property = fc.property(schedule, ({ size, steps }) => {
-    const world = OwnershipSimulation.create(size, fault);
-    world.run(steps);
-    found.push(...world.violations.slice(0, 1));
-    return world.violations.length === 0;
+  const property = fc.property(schedules, ({ size, steps }) => {
+    const simulation = OwnershipSimulation.create(size, fault);
+    simulation.run(steps);
+    found.push(...simulation.violations.slice(0, 1));
+    return simulation.violations.length === 0;
   });
   fc.check(property, { seed: SEED, numRuns: runs, endOnFailure: true });
   return found;
 }
 
-describe("sole ownership by tenure", () => {
-  describe("under any schedule of delays, crashes, suspensions and outages", () => {
-    it("never lets two backend servers hold a key, and never reuses a token", () => {
+describe("ownership leases", () => {
+  describe("under arbitrary schedules of delays, crashes, suspensions and outages", () => {
+    it("never let two backend servers hold a key, and never reuse a token", () => {
       expect(findViolation(undefined, RUNS)).to.deep.equal([]);
     });
   });
 
   describe("while nothing fails", () => {
-    it("keeps all keys held", () => {
-      const world = OwnershipSimulation.create(3);
+    it("keep all keys held", () => {
+      const simulation = OwnershipSimulation.create(3);
       const rounds = Array.from(
         { length: 60 },
         () =>
@@ -554,21 +566,21 @@
             { kind: "heartbeat", host, a: 1, b: 1 },
           ]).concat([{ kind: "advance", host: 0, a: 200, b: 0 }]),
       );
-      world.run(rounds.flat());
-      expect(world.heldKeys).to.equal(65_536);
-      expect(world.violations).to.deep.equal([]);
+      simulation.run(rounds.flat());
+      expect(simulation.heldKeys).to.equal(65_536);
+      expect(simulation.violations).to.deep.equal([]);
     });
   });
 
   describe("when an owner is lost", () => {
-    it("lets an arbiter have its keys after the short tenure", () => {
-      const world = OwnershipSimulation.create(3);
+    it("let an arbiter take its keys over after the short lease", () => {
+      const simulation = OwnershipSimulation.create(3);
       const owner = 1;
-      const others = live(11);
+      const others = runNormally(11);
       const withoutOwner = others.filter(({ kind, host }) =>
         kind === "advance" || host !== owner
       );
-      world.run([
+      simulation.run([
         exactly("appoint", 0, 0, 1),
         exactly("advance", 0, 2),
         ...others,
@@ -581,65 +593,65 @@
         exactly("heartbeat", 0),
         exactly("advance", 0, 3),
       ]);
-      expect(world.heldKeys).to.equal(65_536);
-      expect(world.violations).to.deep.equal([]);
+      expect(simulation.heldKeys).to.equal(65_536);
+      expect(simulation.violations).to.deep.equal([]);
     });
   });
 
   describe("while the store is down", () => {
-    it("lets owners go on as long as the arbiters promise, up to the longest tenure", () => {
-      const world = OwnershipSimulation.create(3);
+    it("let owners hold their keys while the arbiters promise, up to the maximum lease", () => {
+      const simulation = OwnershipSimulation.create(3);
       const rounds = (seconds: number) =>
-        live(seconds).map((one) =>
+        runNormally(seconds).map((one) =>
           one.kind === "confirm"
             ? { ...one, kind: "request_promises" as const }
             : one
         );
-      world.run([
+      simulation.run([
         exactly("appoint", 0, 0, 1),
         exactly("advance", 0, 2),
-        ...live(3),
+        ...runNormally(3),
         exactly("outage", 0, 2_000),
         ...rounds(8),
       ]);
-      expect(world.heldKeys).to.equal(65_536);
-      expect(world.violations).to.deep.equal([]);
+      expect(simulation.heldKeys).to.equal(65_536);
+      expect(simulation.violations).to.deep.equal([]);
     });
   });
 
-  describe("when another writer has spoiled the record", () => {
-    it("lets all keys be held again once it is replaced after the longest tenure", () => {
-      const world = OwnershipSimulation.create(3);
-      world.run([
-        ...live(2),
+  describe("when another writer has corrupted the record", () => {
+    it("let all keys be held again once it is replaced after the maximum lease", () => {
+      const simulation = OwnershipSimulation.create(3);
+      simulation.run([
+        ...runNormally(2),
         exactly("corrupt", 0, 1, 0),
-        ...live(11),
+        ...runNormally(11),
         exactly("repair", 2, 1, 1),
         exactly("advance", 0, 2),
-        ...live(2),
+        ...runNormally(2),
       ]);
-      expect(world.heldKeys).to.equal(65_536);
-      expect(world.violations).to.deep.equal([]);
+      expect(simulation.heldKeys).to.equal(65_536);
+      expect(simulation.violations).to.deep.equal([]);
     });
   });
 
-  describe("when the store comes back from an older copy", () => {
-    const returned = (settles: readonly Step[]) => [
-      ...live(2),
+  describe("when the store was rolled back", () => {
+    const rollback = (settles: readonly Step[]) => [
+      ...runNormally(2),
       exactly("roll_back", 0, 0),
-      ...restoreBy(2),
-      ...live(11),
+      ...restoreOn(2),
+      ...runNormally(11),
       ...settles,
-      ...live(2),
+      ...runNormally(2),
     ];
 
-    it("keeps all keys held meanwhile, and once the record is settled", () => {
+    it("keep all keys held in the meantime, and once the record is settled", () => {
       const settled = [exactly("settle", 2), exactly("advance", 0, 2)];
       [[], settled].forEach((settles) => {
-        const world = OwnershipSimulation.create(3);
-        world.run(returned(settles));
-        expect(world.heldKeys).to.equal(65_536);
-        expect(world.violations).to.deep.equal([]);
+        const simulation = OwnershipSimulation.create(3);
+        simulation.run(rollback(settles));
+        expect(simulation.heldKeys).to.equal(65_536);
+        expect(simulation.violations).to.deep.equal([]);
       });
     });
   });
@@ -672,9 +684,9 @@
       "settle_at_once",
     ];
     faults.forEach((fault) => {
-      it(`notices ${fault}`, function () {
+      it(`fail the properties: ${fault}`, function () {
         this.timeout(120_000);
-        expect(findViolation(fault, RUNS_FOR_A_FAULT)).to.have.length.above(0);
+        expect(findViolation(fault, RUNS_PER_FAULT)).to.have.length.above(0);
       });
     });
   });
