--- a/packages/keyspace/src/arbiter_state.ts
+++ b/packages/keyspace/src/arbiter_state.ts
@@ -17,10 +17,10 @@
 /**
  * The seals of one service that an arbiter has observed.
  *
- * An owner that can't read the store may be sealed and taken over, after which the record shows no seal on it any more. A
- * promise would then extend its lease for keys that belong to another owner, and two backend servers would hold the same
- * keys for some seconds. So an arbiter promises only to an owner that has read the record since the arbiter last saw the
- * owner sealed.
+ * An owner that can't read the store may be sealed and taken over, after which the record shows no seal on it any
+ * more. A promise would then extend its lease for keys that belong to another owner, and two backend servers would
+ * hold the same keys for some seconds. So an arbiter promises only to an owner that has read the record since the
+ * arbiter last saw the owner sealed.
  */
 export class ArbiterState {
   /** The newest revision at which each daemon was sealed. */
@@ -51,8 +51,8 @@
 
   /**
    * Whether the promise may be made. An earlier process of this daemon may have taken the owner over just before it
-   * ended. That is excluded if the owner's record is newer than this process, or once the maximum lease has passed since
-   * the start of this process: then no owner holds keys by what it read before.
+   * ended. That is excluded if the owner's record is newer than this process, or once the maximum lease has passed
+   * since the start of this process: then no owner holds keys by what it read before.
    */
   mayPromise(request: PromiseRequest, nowMs: number): boolean {
     const sealedAt = this.sealedAtRevision.get(request.owner) ?? -Infinity;
--- a/packages/keyspace/src/balance_loads.ts
+++ b/packages/keyspace/src/balance_loads.ts
@@ -46,9 +46,10 @@
 /** Minimum excess over the target utilization that justifies a move. */
 const MIN_EXCESS = 0.25;
 /**
- * Number of standard deviations above the target from which on an owner counts as hot. An owner in a large fleet serves a
- * few requests a second: without this bound, a third of 98 owners with equal work moved keys away within a second, and a
- * second later these keys brought no more work than others; that took 645 writes in 20 s rather than 22.
+ * Number of standard deviations above the target from which on an owner counts as hot. An owner in a large fleet
+ * serves a few requests a second: without this bound, a third of 98 owners with equal work moved keys away within a
+ * second, and a second later these keys brought no more work than others; that took 645 writes in 20 s rather than
+ * 22.
  */
 const MIN_EXCESS_DEVIATIONS = 2;
 /** An owner moves keys to one without any from this utilization on, so that the latter gets a share of the work. */
@@ -114,9 +115,9 @@
 /**
  * Allocates headroom of recipients to one source.
  *
- * The excesses of all hot owners and the headrooms of all recipients are each laid out as consecutive intervals, in the
- * order of the owners' names; the source gets the parts of the headrooms that overlap its own excess. All daemons compute
- * nearly the same layout, so no headroom is allocated twice.
+ * The excesses of all hot owners and the headrooms of all recipients are each laid out as consecutive intervals, in
+ * the order of the owners' names; the source gets the parts of the headrooms that overlap its own excess. All daemons
+ * compute nearly the same layout, so no headroom is allocated twice.
  *
  * @param fleet all owners, the target utilization, and the owners without keys.
  */
--- a/packages/keyspace/src/confirmation_schedule.ts
+++ b/packages/keyspace/src/confirmation_schedule.ts
@@ -1,9 +1,9 @@
 /**
- * Decides when owners request the current state of the store, to extend their ownership leases, and when the daemon that
- * reads on behalf of all of them does so.
+ * Decides when owners request the current state of the store, to extend their ownership leases, and when the daemon
+ * that reads on behalf of all of them does so.
  *
- * It is sized for 98 owners that each need a confirmation every 1.5 s. With requests at arbitrary moments, a read would
- * be due every 0.4 s; with aligned requests, one read in 1.4 s is enough.
+ * It is sized for 98 owners that each need a confirmation every 1.5 s. With requests at arbitrary moments, a read
+ * would be due every 0.4 s; with aligned requests, one read in 1.4 s is enough.
  *
  * @module
  */
--- a/packages/keyspace/src/confirmation_schedule_test.ts
+++ b/packages/keyspace/src/confirmation_schedule_test.ts
@@ -11,7 +11,10 @@
 const READ_MS = 8;
 /** Interval at which an owner checks whether a request is due, in milliseconds. */
 const CHECK_INTERVAL_MS = 50;
-/** The requests of owners that start at random times are aligned by then, in milliseconds; reads are counted from then on. */
+/**
+ * The requests of owners that start at random times are aligned by then, in milliseconds; reads are counted from then
+ * on.
+ */
 const ALIGNMENT_MS = 5_000;
 const DURATION_MS = ALIGNMENT_MS + 28_000;
 /** Age of a confirmation from which on an owner requests promises, in milliseconds. */
@@ -61,8 +64,8 @@
 }
 
 describe("confirmation schedule", () => {
-  // Guards against a shared reader for 98 owners that reads every 0.4 s, although each owner needs a read in 1.5 s: owners
-  // sent each request 1.5 s after their previous one, so that their requests were never aligned.
+  // Guards against a shared reader for 98 owners that reads every 0.4 s, although each owner needs a read in 1.5 s:
+  // owners sent each request 1.5 s after their previous one, so that their requests were never aligned.
   [98, 6].forEach((owners) =>
     it(`aligns requests without increasing the age of confirmations, ${owners} owners`, () => {
       [1, 2, 3].forEach((seed) => {
--- a/packages/keyspace/src/grant_tracker.ts
+++ b/packages/keyspace/src/grant_tracker.ts
@@ -123,10 +123,10 @@
   }
 
   /**
-   * Handles a read of the record that has confirmed the daemon's lease. If the lease had expired before, or the daemon
-   * was sealed, its keys may have belonged to another owner for a while, in records that it has not read. They get tokens
-   * above those of that owner: with the former tokens, the backend server would take keys with tokens below the other
-   * owner's.
+   * Handles a read of the record that has confirmed the daemon's lease. If the lease had expired before, or the
+   * daemon was sealed, its keys may have belonged to another owner for a while, in records that it has not read. They
+   * get tokens above those of that owner: with the former tokens, the backend server would take keys with tokens
+   * below the other owner's.
    *
    * @param read the revision that was read, and whether the lease had expired by then.
    */
@@ -189,9 +189,9 @@
   }
 
   /**
-   * Adopts tokens that the current incarnation reports and that are higher than the tracked ones. It was granted them by
-   * an earlier process of this daemon, while a delayed heartbeat reported an older state; it would permanently refuse
-   * grants with lower tokens.
+   * Adopts tokens that the current incarnation reports and that are higher than the tracked ones. It was granted them
+   * by an earlier process of this daemon, while a delayed heartbeat reported an older state; it would permanently
+   * refuse grants with lower tokens.
    */
   raiseTokens(held: readonly HeldRange[]): void {
     held.forEach((range) =>
--- a/packages/keyspace/src/incarnation_tracker.ts
+++ b/packages/keyspace/src/incarnation_tracker.ts
@@ -65,10 +65,10 @@
  * Tracks the current incarnation.
  *
  * Without it, a heartbeat that a network partition delayed could arrive after its sender has crashed and a new
- * incarnation has registered at the same address. Accepted without a check, it would displace the running process: keys
- * would be granted to a process that has ended, and requests for them refused by the one that runs. Or the new process
- * has the id of the old one: its heartbeats would be dropped as late until its sequence number has passed the old one's,
- * and from then on it would be assumed to hold keys that it has lost.
+ * incarnation has registered at the same address. Accepted without a check, it would displace the running process:
+ * keys would be granted to a process that has ended, and requests for them refused by the one that runs. Or the new
+ * process has the id of the old one: its heartbeats would be dropped as late until its sequence number has passed the
+ * old one's, and from then on it would be assumed to hold keys that it has lost.
  */
 export class IncarnationTracker {
   private lastHeartbeat: Heartbeat | undefined;
--- a/packages/keyspace/src/incarnation_tracker_test.ts
+++ b/packages/keyspace/src/incarnation_tracker_test.ts
@@ -8,9 +8,9 @@
 
 describe("incarnation tracker", () => {
   describe("when a heartbeat of an earlier incarnation was delayed", () => {
-    // Guards against a healthy backend server that refuses requests for keys for a second: a backend server crashes, its
-    // successor registers at the same address, and a heartbeat of the first, delayed by a network partition, arrives last
-    // and was taken for that of the current incarnation.
+    // Guards against a healthy backend server that refuses requests for keys for a second: a backend server crashes,
+    // its successor registers at the same address, and a heartbeat of the first, delayed by a network partition,
+    // arrives last and was taken for that of the current incarnation.
     it("requires verification before it accepts another incarnation", () => {
       const tracker = IncarnationTracker.create();
       tracker.accept({ instance: "second", born: 1, sequence: 1 }, 0);
@@ -64,8 +64,9 @@
       expect(createTracker().classify(next).kind).to.equal("unverified");
     });
 
-    // Guards against a server that refuses requests for keys which the daemon assumes it to hold: as above, but the daemon
-    // has missed so many heartbeats that the new sequence number is above the old one, which passed for the former process.
+    // Guards against a server that refuses requests for keys which the daemon assumes it to hold: as above, but the
+    // daemon has missed so many heartbeats that the new sequence number is above the old one, which passed for the
+    // former process.
     it("does not attribute a higher sequence number to the former process", () => {
       const status = createTracker().classify({ ...next, sequence: 90 });
       expect(status.kind).to.equal("unverified");
@@ -83,9 +84,9 @@
       );
     });
 
-    // Guards against a running server that loses its grant to a process that has ended: it restarted with the same id, and
-    // a delayed heartbeat of the former process arrives last. The response at the address contains the id of both, and was
-    // taken for proof.
+    // Guards against a running server that loses its grant to a process that has ended: it restarted with the same
+    // id, and a delayed heartbeat of the former process arrives last. The response at the address contains the id of
+    // both, and was taken for proof.
     it("rejects a delayed heartbeat while the running process sends heartbeats", () => {
       const tracker = IncarnationTracker.create();
       tracker.accept(next, 0);
--- a/packages/keyspace/src/load_profile.ts
+++ b/packages/keyspace/src/load_profile.ts
@@ -37,8 +37,8 @@
 export class LoadProfile {
   private readonly sums = new Float64Array(KEY_COUNT);
   /**
-   * Weight of work that is recorded now, relative to work at the start. Increasing it has the same effect as decaying all
-   * sums, without an update of each of them.
+   * Weight of work that is recorded now, relative to work at the start. Increasing it has the same effect as decaying
+   * all sums, without an update of each of them.
    */
   private weight = 1;
   /** All work and the sum of its squares, with the same decay; their ratio gives the size of a request. */
@@ -63,9 +63,9 @@
   }
 
   /**
-   * Applies the load that the previous owner measured for keys that were moved from it, in milliseconds of slot time a
-   * second. Without it, an owner would appear as little loaded as before for a second after it has received hot keys, and
-   * would be sent more.
+   * Applies the load that the previous owner measured for keys that were moved from it, in milliseconds of slot time
+   * a second. Without it, an owner would appear as little loaded as before for a second after it has received hot
+   * keys, and would be sent more.
    */
   seed(range: KeyRange, load: number): void {
     const perKey = this.toSum(load) / sizeOf(range);
@@ -105,8 +105,8 @@
   /**
    * Standard deviation of a load's random error, in slots.
    *
-   * An owner in a large fleet serves a few requests a second. Even where all owners have the same load, one may get twice
-   * as many requests as another, and the reverse a second later.
+   * An owner in a large fleet serves a few requests a second. Even where all owners have the same load, one may get
+   * twice as many requests as another, and the reverse a second later.
    *
    * @param load in slots.
    */
@@ -123,7 +123,8 @@
    * cheap to move: the cost of a move grows with the number of keys and not with their work.
    *
    * @param wanted `load`: in milliseconds of slot time a second.
-   * @returns `undefined` where no window carries at least `MIN_WINDOW_FRACTION` of the load and not more than all of it.
+   * @returns `undefined` where no window carries at least `MIN_WINDOW_FRACTION` of the load and not more than all of
+   *   it.
    */
   findSmallestWindow(
     ranges: readonly KeyRange[],
@@ -221,9 +222,9 @@
   }
 
   /**
-   * Effective time that the sums cover, in seconds. It is shorter at first: without that, an owner that received far too
-   * much work at the start of the traffic would measure a third of it after half a second, and would move keys away in
-   * three rounds rather than one.
+   * Effective time that the sums cover, in seconds. It is shorter at first: without that, an owner that received far
+   * too much work at the start of the traffic would measure a third of it after half a second, and would move keys
+   * away in three rounds rather than one.
    */
   private get windowSeconds(): number {
     return HALF_LIFE_MS / 1_000 / Math.LN2 * this.observedFraction;
--- a/packages/keyspace/src/load_profile_test.ts
+++ b/packages/keyspace/src/load_profile_test.ts
@@ -53,9 +53,9 @@
 
 describe("load profile", () => {
   describe("half a second after the first request", () => {
-    // Guards against an owner that refuses most requests for 4 s at the start of the traffic: it had the busiest keys by
-    // chance; after half a second it measured a third of their work, since the average covered time without traffic, and
-    // moved only part of that. A move takes a second, and it needed three of them.
+    // Guards against an owner that refuses most requests for 4 s at the start of the traffic: it had the busiest keys
+    // by chance; after half a second it measured a third of their work, since the average covered time without
+    // traffic, and moved only part of that. A move takes a second, and it needed three of them.
     it("measures the full work of keys", () => {
       const profile = LoadProfile.create();
       profile.decay(5_000);
--- a/packages/keyspace/src/ownership_lease.ts
+++ b/packages/keyspace/src/ownership_lease.ts
@@ -16,8 +16,8 @@
 export const MAX_LEASE_MS = 10_000;
 
 /**
- * Duration of an ownership lease without promises of the arbiters, in milliseconds. It allows for two failed reads, each
- * with its timeout. The keys of a lost host are unavailable for as long.
+ * Duration of an ownership lease without promises of the arbiters, in milliseconds. It allows for two failed reads,
+ * each with its timeout. The keys of a lost host are unavailable for as long.
  */
 export const SHORT_LEASE_MS = 4_000;
 
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Discards all reads and promises. Called when the backend server at this address belongs to another service: what was
-   * read and promised for the previous service does not apply to the keys of the new one.
+   * Discards all reads and promises. Called when the backend server at this address belongs to another service: what
+   * was read and promised for the previous service does not apply to the keys of the new one.
    */
   reset(): void {
     this.confirmedAtMs = -Infinity;
@@ -114,9 +114,9 @@
   }
 
   /**
-   * Whether a read of a record may confirm the lease of a daemon that it lists as an owner. A record that was restored
-   * because the store had lost a later one confirms only leases that are still valid: a takeover of another owner may be
-   * among the lost changes.
+   * Whether a read of a record may confirm the lease of a daemon that it lists as an owner. A record that was
+   * restored because the store had lost a later one confirms only leases that are still valid: a takeover of another
+   * owner may be among the lost changes.
    */
   mayConfirm(
     record: Pick<OwnershipRecord, "isRestored">,
@@ -193,9 +193,10 @@
   /**
    * Whether the lease of the owner under a seal has certainly ended.
    *
-   * An arbiter waits only for the short lease: the owner's lease could not have been extended without its promise, and it
-   * makes none to an owner that it has observed as sealed. But an owner that read the record before the arbiter was
-   * appointed needs no such promise, so the arbiter must have been appointed for longer than the maximum lease.
+   * An arbiter waits only for the short lease: the owner's lease could not have been extended without its promise,
+   * and it makes none to an owner that it has observed as sealed. But an owner that read the record before the
+   * arbiter was appointed needs no such promise, so the arbiter must have been appointed for longer than the maximum
+   * lease.
    *
    * @param appointment the appointment of the calling daemon, if the record lists it as an arbiter.
    */
--- a/packages/keyspace/src/ownership_record.ts
+++ b/packages/keyspace/src/ownership_record.ts
@@ -23,8 +23,8 @@
    * Id of the takeover in progress, 0 without one: the owner may not extend its lease unless it removes the seal, and
    * others may assign the range once the owner's lease has certainly ended.
    *
-   * Each seal has a unique id. Otherwise a daemon that missed the removal of a seal would count its wait from an earlier
-   * seal, while the owner has extended its lease in between.
+   * Each seal has a unique id. Otherwise a daemon that missed the removal of a seal would count its wait from an
+   * earlier seal, while the owner has extended its lease in between.
    */
   readonly seal: number;
 }
@@ -57,8 +57,8 @@
 ]);
 
 /**
- * Every change of a record is sent to all daemons, so the encoding is compact: tuples rather than named fields, and each
- * daemon's address only once.
+ * Every change of a record is sent to all daemons, so the encoding is compact: tuples rather than named fields, and
+ * each daemon's address only once.
  */
 const StoredRecord = z.object({
   daemons: z.array(z.string()),
@@ -120,8 +120,8 @@
   }
 
   /**
-   * Whether the record was restored after the store had lost later changes. Owners keep the keys that they hold; no keys
-   * are granted by it, since their owners in the lost records may still hold them.
+   * Whether the record was restored after the store had lost later changes. Owners keep the keys that they hold; no
+   * keys are granted by it, since their owners in the lost records may still hold them.
    */
   get isRestored(): boolean {
     return this.content.isRestored;
--- a/packages/keyspace/src/ownership_safety_test.ts
+++ b/packages/keyspace/src/ownership_safety_test.ts
@@ -1,6 +1,6 @@
 /**
- * Property tests of exclusive ownership over random schedules, and of the properties themselves: each broken variant of a
- * rule must be detected.
+ * Property tests of exclusive ownership over random schedules, and of the properties themselves: each broken variant
+ * of a rule must be detected.
  *
  * @module
  */
@@ -263,8 +263,8 @@
 });
 
 /**
- * An owner that can't read the store requests promises after it was taken over, possibly by an arbiter that has restarted
- * since.
+ * An owner that can't read the store requests promises after it was taken over, possibly by an arbiter that has
+ * restarted since.
  */
 const unobservedTakeover = fc.tuple(fc.boolean(), takeoverTimings).map((
   [restarts, timing],
@@ -678,7 +678,7 @@
       "id_identifies_process",
       "repair_at_once",
       "order_without_era",
-      "earlier_era_in_force",
+      "earlier_era_accepted",
       "restored_grants_keys",
       "restored_confirms_all",
       "settle_at_once",
--- a/packages/keyspace/src/plan_rebalance.ts
+++ b/packages/keyspace/src/plan_rebalance.ts
@@ -29,8 +29,8 @@
  */
 const MIN_MOVED_WORK_MS = MIN_HEADROOM * 1_000;
 /**
- * A key is heavy from this fraction of its owner's capacity on. It is below 1 since the profile lags: a key that has just
- * become hot would otherwise be detected only after a round of other moves, a second later.
+ * A key is heavy from this fraction of its owner's capacity on. It is below 1 since the profile lags: a key that has
+ * just become hot would otherwise be detected only after a round of other moves, a second later.
  */
 const HEAVY_KEY_FRACTION = 0.5;
 /** A heavy key moves only to an owner whose utilization with it is below this fraction of the source's. */
@@ -53,8 +53,8 @@
 }
 
 /**
- * Plans moves from one hot owner to owners below the target utilization. Each recipient gets as few keys as possible: the
- * cost of a move depends on the number of keys and not on their work.
+ * Plans moves from one hot owner to owners below the target utilization. Each recipient gets as few keys as possible:
+ * the cost of a move depends on the number of keys and not on their work.
  *
  * Every hot owner plans independently, from the same load reports, and uses only its own part of each recipient's
  * headroom (`allocateHeadroom`). If every one filled the least loaded owner, that would be the most loaded a second
@@ -112,7 +112,9 @@
     : undefined;
 }
 
-/** The owner that would be the least utilized with a key, if it is clearly less utilized than the key's owner is now. */
+/**
+ * The owner that would be the least utilized with a key, if it is clearly less utilized than the key's owner is now.
+ */
 function findRecipientOf(
   key: KeyRange,
   fleet: {
--- a/packages/keyspace/src/plan_rebalance_test.ts
+++ b/packages/keyspace/src/plan_rebalance_test.ts
@@ -92,9 +92,9 @@
 }
 
 describe("rebalance of hot keys in a large fleet", () => {
-  // Guards against requests for hot keys that are refused for as long as the keys are hot, while most of 30 owners are idle:
-  // 200 adjacent keys get two fifths of the work, eight times what their owner can do. It moved the keys of whole buckets
-  // only, each with more work than any other owner's headroom, and to four owners at a time.
+  // Guards against requests for hot keys that are refused for as long as the keys are hot, while most of 30 owners
+  // are idle: 200 adjacent keys get two fifths of the work, eight times what their owner can do. It moved the keys of
+  // whole buckets only, each with more work than any other owner's headroom, and to four owners at a time.
   it("brings the hottest owner below its capacity within three rounds", () => {
     const fleet = new Fleet(createWork());
     expect(fleet.maxUtilization).to.be.above(7);
@@ -154,17 +154,17 @@
     return { moves, after };
   }
 
-  // Guards against keys that move back and forth while one owner after the other is offered three times what it can do: two
-  // hot owners each moved as much as the headroom of the same least utilized owner. Each planned as if it were the only
-  // one, and by the work of keys at its own speed.
+  // Guards against keys that move back and forth while one owner after the other is offered three times what it can
+  // do: two hot owners each moved as much as the headroom of the same least utilized owner. Each planned as if it
+  // were the only one, and by the work of keys at its own speed.
   it("fills no recipient far beyond the mean", () => {
     const { after } = planAll([2.4, 1.6, 0.3, 0.2, 0.4, 0.5]);
     expect(Math.max(...after.slice(2))).to.be.below(1.15);
   });
 
   // Guards against two owners that refuse two of three requests under overload while the others have free slots: all
-  // together are offered more than they can do, and recipients were filled to a utilization of 0.8 only, to avoid the few
-  // requests that they would refuse.
+  // together are offered more than they can do, and recipients were filled to a utilization of 0.8 only, to avoid the
+  // few requests that they would refuse.
   it("brings the hottest owner near the mean within three rounds, even under overload", () => {
     const first = planAll([3.2, 2.4, 0.6, 0.6, 0.7, 0.8]).after;
     const second = planAll(first).after;
@@ -173,10 +173,11 @@
     expect(Math.min(...third)).to.be.above(0.9);
   });
 
-  // Guards against one key with two fifths of all requests of which two of three are refused for 5 s, as are requests for
-  // the other keys of its owner, while five owners have headroom: the key alone causes four times what its slow owner can
-  // do, no recipient would be less utilized with it than the owner without it, and the owner's other keys have less work
-  // than the recipients' headroom. A key that overloads every owner stayed where it was, and so did the owner's other keys.
+  // Guards against one key with two fifths of all requests of which two of three are refused for 5 s, as are requests
+  // for the other keys of its owner, while five owners have headroom: the key alone causes four times what its slow
+  // owner can do, no recipient would be less utilized with it than the owner without it, and the owner's other keys
+  // have less work than the recipients' headroom. A key that overloads every owner stayed where it was, and so did
+  // the owner's other keys.
   it("moves a key that overloads every owner to a fast one, and other keys away from there", () => {
     const loads = [0.4, 0.5, 4.8, 0.6, 0.5, 0.6];
     const profile = createProfile(loads.map((load) => Math.min(load, 0.6)));
--- a/packages/keyspace/src/range_map.ts
+++ b/packages/keyspace/src/range_map.ts
@@ -34,8 +34,8 @@
 }
 
 /**
- * Disjoint ranges of keys in ascending order, each with a value. Adjacent ranges with equal values are merged. Values are
- * compared with `Object.is`, unless another comparison is given.
+ * Disjoint ranges of keys in ascending order, each with a value. Adjacent ranges with equal values are merged. Values
+ * are compared with `Object.is`, unless another comparison is given.
  */
 export class RangeMap<V> {
   private constructor(
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Creates a map of ranges that are disjoint and in ascending order, in linear time; setting them one by one would take
-   * quadratic time.
+   * Creates a map of ranges that are disjoint and in ascending order, in linear time; setting them one by one would
+   * take quadratic time.
    */
   static createFrom<V>(
     segments: readonly Segment<V>[],
--- a/packages/keyspace/src/repair_timer.ts
+++ b/packages/keyspace/src/repair_timer.ts
@@ -8,9 +8,9 @@
 /**
  * Measures for how long the store has held a corrupt record, or none where there was one.
  *
- * The last record that the repairing daemon has read need not be the last one that was written. Written back at once, it
- * would return keys to a previous owner while a later owner still holds them. No daemon confirms its lease by a corrupt
- * record, so after the maximum lease no owner holds keys, and any record may be written.
+ * The last record that the repairing daemon has read need not be the last one that was written. Written back at once,
+ * it would return keys to a previous owner while a later owner still holds them. No daemon confirms its lease by a
+ * corrupt record, so after the maximum lease no owner holds keys, and any record may be written.
  */
 export class RepairTimer {
   private corrupt: { revision: number; detectedAtMs: number } | undefined;
--- a/packages/keyspace/src/testing/ownership_simulation.ts
+++ b/packages/keyspace/src/testing/ownership_simulation.ts
@@ -1,6 +1,6 @@
 /**
- * A discrete-event simulation of daemons, backend servers and the store on virtual time. It exercises the rules that keep
- * every key with at most one holder under delays, crashes, suspensions, outages and clocks with different rates.
+ * A discrete-event simulation of daemons, backend servers and the store on virtual time. It exercises the rules that
+ * keep every key with at most one holder under delays, crashes, suspensions, outages and clocks with different rates.
  *
  * It runs the real decision code and simulates only its environment. Each fault is a broken variant of one rule or
  * assumption, which the checked properties must detect.
@@ -72,7 +72,7 @@
   /** Records are ordered, and tokens derived, by the store's own revisions without the era. */
   | "order_without_era"
   /** A record of an earlier era is treated as valid after a rollback of the store. */
-  | "earlier_era_in_force"
+  | "earlier_era_accepted"
   /** A restored record grants keys like any other. */
   | "restored_grants_keys"
   /** A restored record confirms leases that were not valid just before, too. */
@@ -162,7 +162,7 @@
   /** The latest era of the store that the daemon has observed. */
   era: number;
   record: OwnershipRecord;
-  registration: number;
+  registrationRevision: number;
   suspendedUntilMs: number;
   suspendedForMs: number;
   handovers: FreedRange[];
@@ -373,7 +373,7 @@
       restoreTimer: RestoreTimer.create(),
       era: 0,
       record: OwnershipRecord.create(),
-      registration: 1,
+      registrationRevision: 1,
       suspendedUntilMs: 0,
       suspendedForMs: 0,
       handovers: [],
@@ -417,8 +417,8 @@
 
   /** A daemon's clock, which continues during suspensions unless `steady_clock` is set. */
   private clockOf(host: Host): number {
-    const lost = this.fault === "steady_clock" ? host.suspendedForMs : 0;
-    return (this.nowMs - lost) * host.rate;
+    const suspendedMs = this.fault === "steady_clock" ? host.suspendedForMs : 0;
+    return (this.nowMs - suspendedMs) * host.rate;
   }
 
   private isRunning(host: Host): boolean {
@@ -601,13 +601,13 @@
         return;
       }
       const { stored, corruptRevision, era } = this;
-      const found = { stored, corruptRevision, era };
+      const result = { stored, corruptRevision, era };
       this.schedule(delays.responseDelayMs, () => {
         if (host.restarts === restarts) {
           this.scheduleOnHost(
             host,
             0,
-            () => this.handleRead(host, found, sentAtMs),
+            () => this.handleRead(host, result, sentAtMs),
           );
         }
       });
@@ -712,8 +712,8 @@
     promised.forEach((name) => host.lease.recordPromise(name, countedFromMs));
   }
 
-  private handleRead(host: Host, found: ReadResult, sentAtMs: number): void {
-    const { stored, corruptRevision, era } = found;
+  private handleRead(host: Host, result: ReadResult, sentAtMs: number): void {
+    const { stored, corruptRevision, era } = result;
     if (era < host.era) {
       // The read was in flight during a rollback of the store, and the response to a later one has overtaken it.
       return;
@@ -723,7 +723,7 @@
       this.handleCorruptRecord(host, corruptRevision);
       return;
     }
-    if (stored.era !== era && this.fault !== "earlier_era_in_force") {
+    if (stored.era !== era && this.fault !== "earlier_era_accepted") {
       host.restoreTimer.recordEarlierEra(stored.revision, this.clockOf(host));
       return;
     }
@@ -732,25 +732,25 @@
 
   private handleRecord(
     host: Host,
-    found: OwnershipRecord,
+    result: OwnershipRecord,
     sentAtMs: number,
   ): void {
     host.repairTimer.markReadable();
-    this.applyRecord(host, found);
+    this.applyRecord(host, result);
     const mayConfirm = this.fault === "restored_confirms_all" ||
-      host.lease.mayConfirm(found, this.clockOf(host));
-    if (!found.isSealed(host.name) && mayConfirm) {
+      host.lease.mayConfirm(result, this.clockOf(host));
+    if (!result.isSealed(host.name) && mayConfirm) {
       if (this.fault !== "tokens_outlive_lease") {
         const hasExpired = host.lease.hasExpired(this.clockOf(host));
         host.grants.recordConfirmation({
-          revision: found.revision,
+          revision: result.revision,
           hasExpired,
         });
       }
       const countsFromResponse = this.fault === "lease_from_response";
       host.lease.confirm(
         countsFromResponse ? this.clockOf(host) : sentAtMs,
-        found,
+        result,
       );
     }
   }
@@ -777,7 +777,9 @@
     });
   }
 
-  /** Restores the newest record that the host has after a rollback of the store; the store's record where it has none. */
+  /**
+   * Restores the newest record that the host has after a rollback of the store; the store's record where it has none.
+   */
   private restore(host: Host, delayMs: number): void {
     const due = host.restoreTimer.findReplaceableRevision(this.clockOf(host));
     if (due === undefined || !this.isRunning(host)) {
@@ -786,9 +788,9 @@
     const { era } = host;
     const known = host.record.revision > 0 ? host.record : this.stored;
     this.schedule(delayMs, () => {
-      const isInForce = this.corruptRevision === undefined &&
+      const isUnchanged = this.corruptRevision === undefined &&
         revisionInEra(this.stored.revision) === revisionInEra(due);
-      if (this.nowMs >= this.outageUntilMs && isInForce) {
+      if (this.nowMs >= this.outageUntilMs && isUnchanged) {
         this.commit(known.restoredIn(era));
       }
     });
@@ -822,11 +824,11 @@
     host.arbiterState.observe(record);
     const revision = this.fault === "tokens_from_record"
       ? record.revision
-      : Math.max(record.revision, host.registration);
-    const inForce = this.fault === "restored_grants_keys"
+      : Math.max(record.revision, host.registrationRevision);
+    const effectiveRecord = this.fault === "restored_grants_keys"
       ? record.settle()
       : record;
-    host.grants.applyRecord(inForce, { daemon: host.name, revision });
+    host.grants.applyRecord(effectiveRecord, { daemon: host.name, revision });
   }
 
   private publish(
@@ -839,7 +841,7 @@
     const released = this.fault === "release_before_freed"
       ? host.record.rangesOf(host.name).slice(0, 1)
       : host.grants.findReleased(this.clockOf(host));
-    const mine = released.flatMap((range) =>
+    const ownRanges = released.flatMap((range) =>
       host.record.rangesOf(host.name).flatMap(({ from, to }) => {
         const shared = {
           from: Math.max(from, range.from),
@@ -848,12 +850,12 @@
         return shared.from <= shared.to ? [shared] : [];
       })
     );
-    if (mine.length === 0) {
+    if (ownRanges.length === 0) {
       return;
     }
     const change = (record: OwnershipRecord) =>
       record.assign(
-        mine.map((range: KeyRange) => ({
+        ownRanges.map((range: KeyRange) => ({
           ...range,
           daemon: write.to.name,
           handover: "",
@@ -862,13 +864,14 @@
     this.write(host, change, write.delayMs);
   }
 
-  private takeOver(host: Host, lost: Host): void {
+  private takeOver(host: Host, sealedHost: Host): void {
     const nowMs = this.clockOf(host);
     const { record } = host;
-    const under = record.sealedOwners.filter(({ daemon, seal }) =>
-      daemon === lost.name && this.mayTakeOver(host, { seal, lost, nowMs })
+    const sealed = record.sealedOwners.filter(({ daemon, seal }) =>
+      daemon === sealedHost.name &&
+      this.mayTakeOver(host, { seal, sealedHost, nowMs })
     );
-    const ranges = under.flatMap(({ seal }) => record.rangesWithSeal(seal));
+    const ranges = sealed.flatMap(({ seal }) => record.rangesWithSeal(seal));
     if (ranges.length === 0) {
       return;
     }
@@ -885,9 +888,9 @@
 
   private mayTakeOver(
     host: Host,
-    takeover: { seal: number; lost: Host; nowMs: number },
+    takeover: { seal: number; sealedHost: Host; nowMs: number },
   ): boolean {
-    const { seal, lost, nowMs } = takeover;
+    const { seal, sealedHost, nowMs } = takeover;
     const appointment = host.record.findArbiter(host.name);
     switch (this.fault) {
       case "takeover_at_once":
@@ -896,7 +899,7 @@
         return host.takeoverTimers.hasLeaseEnded(seal, nowMs + 300);
       case "reused_seal_id":
         return host.takeoverTimers.hasLeaseEnded(
-          this.hosts.indexOf(lost) + 1,
+          this.hosts.indexOf(sealedHost) + 1,
           nowMs,
           appointment,
         );
@@ -934,16 +937,16 @@
     const changed = change(known)?.withEra(era);
     const isOfEarlierEra = known.era !== era &&
       this.fault !== "order_without_era" &&
-      this.fault !== "earlier_era_in_force";
+      this.fault !== "earlier_era_accepted";
     if (changed === undefined || isOfEarlierEra) {
       return;
     }
     this.schedule(delayMs, () => {
       const isDown = this.nowMs < this.outageUntilMs;
       // The store compares its own revisions only, and may have assigned this one again after a rollback.
-      const isInForce = this.corruptRevision === undefined &&
+      const isUnchanged = this.corruptRevision === undefined &&
         revisionInEra(this.stored.revision) === revisionInEra(known.revision);
-      if (!isDown && isInForce) {
+      if (!isDown && isUnchanged) {
         this.commit(changed);
         const written = this.stored;
         const isOfCurrentEra = era === this.era;
@@ -992,8 +995,8 @@
     host.handovers = [];
     this.revision += 1;
     host.era = this.era;
-    host.registration = this.currentRevision();
-    host.arbiterState.recordStartRevision(host.registration);
+    host.registrationRevision = this.currentRevision();
+    host.arbiterState.recordStartRevision(host.registrationRevision);
     this.takeSnapshot();
     this.confirm(host, { requestDelayMs: 2, responseDelayMs: 2 });
   }
@@ -1007,15 +1010,15 @@
   private check(): void {
     this.hosts.forEach((host, index) =>
       this.hosts.slice(index + 1).forEach((other) => {
-        const both = this.holdsOf(host).flatMap((range) =>
+        const overlapping = this.holdsOf(host).flatMap((range) =>
           this.holdsOf(other).filter(({ from, to }) =>
             from <= range.to && to >= range.from
           )
         );
-        if (both.length > 0) {
+        if (overlapping.length > 0) {
           this.violations.push(
             `at ${this.nowMs} ${host.name} and ${other.name} hold key ${
-              both[0]!.from
+              overlapping[0]!.from
             }`,
           );
         }
--- a/packages/keyspace/src/testing/rebalance_simulation.ts
+++ b/packages/keyspace/src/testing/rebalance_simulation.ts
@@ -1,6 +1,6 @@
 /**
- * A discrete-event simulation of a service with many owners, whose keys get requests at random times. It measures the cost
- * of rebalancing: calls to the store, moved keys, and how long keys are without an owner.
+ * A discrete-event simulation of a service with many owners, whose keys get requests at random times. It measures the
+ * cost of rebalancing: calls to the store, moved keys, and how long keys are without an owner.
  *
  * Planning and write backoff are the real decision code; requests, heartbeats, updates and the store are simulated.
  *
@@ -42,7 +42,7 @@
   readonly slots: number;
   /** Requests a second for all keys together, and the mean service time of one, in milliseconds. */
   readonly requestsPerSecond: number;
-  readonly serviceMs: number;
+  readonly meanServiceMs: number;
   /** Share of the requests that each key gets from the given time on. */
   readonly popularity: (nowMs: number) => readonly number[];
   readonly random: () => number;
@@ -145,13 +145,13 @@
 
   /** Expected work per slot of each owner, from the popularity of its keys. */
   get utilizations(): number[] {
-    const { slots, requestsPerSecond, serviceMs, owners } = this.scenario;
+    const { slots, requestsPerSecond, meanServiceMs, owners } = this.scenario;
     const shares = new Float64Array(owners);
     this.owners.segments.forEach(({ from, to, value }) => {
       shares[value]! += this.popularityOf({ from, to });
     });
     return [...shares].map((share) =>
-      share * requestsPerSecond * serviceMs / 1_000 / slots
+      share * requestsPerSecond * meanServiceMs / 1_000 / slots
     );
   }
 
@@ -195,12 +195,12 @@
 
   /** Schedules the next request. */
   private scheduleNextRequest(): void {
-    const { random, requestsPerSecond, serviceMs } = this.scenario;
+    const { random, requestsPerSecond, meanServiceMs } = this.scenario;
     const intervalMs = -Math.log(1 - random()) / requestsPerSecond * 1_000;
     this.after(intervalMs, () => {
       const key = this.pickKey(random() * this.cumulative[KEY_COUNT - 1]!);
       const owner = this.simulatedOwners[this.owners.get(key)!]!;
-      const workMs = serviceMs * (0.5 + random());
+      const workMs = meanServiceMs * (0.5 + random());
       owner.profile.record(key, workMs);
       this.run(owner, workMs);
       this.scheduleNextRequest();
@@ -223,7 +223,7 @@
     if (owner.planned.length > 0 || owner.released !== undefined) {
       return;
     }
-    const { slots, serviceMs } = this.scenario;
+    const { slots, meanServiceMs } = this.scenario;
     const ranges = this.rangesOf(index);
     const load = owner.profile.loadOf(ranges) / 1_000;
     const own = {
@@ -231,7 +231,7 @@
       utilization: load / slots,
       deviation: owner.profile.standardDeviationOf(load) / slots,
       slots,
-      serviceMs,
+      serviceMs: meanServiceMs,
     };
     const others = this.reports.filter(({ daemon }) => daemon !== owner.name);
     owner.planned = planRebalance(own, others, {
@@ -366,7 +366,7 @@
   }
 
   private updateReports(): void {
-    const { slots, serviceMs } = this.scenario;
+    const { slots, meanServiceMs } = this.scenario;
     const ranges = this.simulatedOwners.map((): KeyRange[] => []);
     this.owners.segments.forEach((segment) =>
       ranges[segment.value]!.push(segment)
@@ -375,7 +375,7 @@
       daemon: name,
       utilization: profile.loadOf(ranges[index]!) / 1_000 / slots,
       slots,
-      serviceMs,
+      serviceMs: meanServiceMs,
     }));
   }
 
--- a/packages/keyspace/src/write_backoff.ts
+++ b/packages/keyspace/src/write_backoff.ts
@@ -5,8 +5,8 @@
  */
 
 /**
- * Minimum delay after a conflict, in milliseconds: within it, the update about the other writer's change has usually been
- * received, and the record need not be read from the store.
+ * Minimum delay after a conflict, in milliseconds: within it, the update about the other writer's change has usually
+ * been received, and the record need not be read from the store.
  */
 const MIN_DELAY_MS = 15;
 /** Maximum delay, in milliseconds: the pending write may concern keys that have no owner until it succeeds. */
