--- a/packages/keyspace/src/ownership_lease_test.ts
+++ b/packages/keyspace/src/ownership_lease_test.ts
@@ -48,7 +48,7 @@
     // Guards against two backend servers that hold a key: a daemon confirms its lease in one service; its backend
     // server is replaced by one of another service, which is assigned keys there and sealed at once. The read for the
     // former service counted as a lease in the new one.
-    it("is not valid by earlier reads and promises", () => {
+    it("discards earlier reads and promises", () => {
       const lease = OwnershipLease.create();
       lease.confirm(1_000, { arbiters: [], revision: 1 });
       lease.recordPromise("one", 1_000);
