--- a/packages/router/src/handover_coordinator.ts
+++ b/packages/router/src/handover_coordinator.ts
@@ -1,114 +1,117 @@
 /**
- * Brings the two heartbeats of a handover together.
+ * Synchronizes the heartbeats of the two backend servers of a handover.
  *
- * Backend servers learn what they hold only from the answers to their own heartbeats, about one a
- * second. Left to chance, keys would have no holder for half a second on average: released at one
- * heartbeat of the old owner, granted at a later one of the new. So the new owner's daemon holds back an
- * answer when it expects keys, and says so; the old owner's daemon holds back its own until then and
- * releases only in that answer.
+ * Backend servers receive their grants only in the responses to their own heartbeats, about one per second. Without
+ * synchronization, keys would have no holder for half a second on average: released at a heartbeat of the old owner and
+ * granted at a later one of the new owner. So the new owner's daemon delays a heartbeat response while it expects keys,
+ * and announces this; the old owner's daemon delays its own response until then and releases the keys only in it.
  *
  * @module
  */
 import type { KeyRange } from "@bamboolink/keyspace";
 
-/** How long an answer is held back, in milliseconds; a backend server takes one for lost after a second. */
-const HOLD_BACK_MS = 750;
-/** How long keys are expected after the word that they come, in milliseconds. */
-const EXPECT_MS = 2_500;
+/** Maximum delay of a heartbeat response, in milliseconds; a backend server considers it lost after a second. */
+const MAX_RESPONSE_DELAY_MS = 750;
+/** How long keys are expected after their move was announced, in milliseconds. */
+const EXPECTATION_TTL_MS = 2_500;
 
-/** Keys that are to come, and the work they bring, in milliseconds of a slot a second. */
+/** Keys that are about to be received, and their load in milliseconds of slot time per second. */
 export interface ExpectedRange extends KeyRange {
   readonly load: number;
 }
 
 interface Expectation {
-  readonly untilMs: number;
+  readonly expiresAtMs: number;
   readonly ranges: readonly ExpectedRange[];
 }
 
-/** What both ends of handovers wait for, at one daemon. */
+/** Tracks the handovers of one daemon, and delays its heartbeat responses for them, as the old and as the new owner. */
 export class HandoverCoordinator {
   private readonly expectations = new Map<string, Expectation>();
-  private readonly awaiting = new Set<string>();
-  private readonly waits = new Set<() => void>();
-  private arrivals = 0;
+  private readonly awaitingRecipients = new Set<string>();
+  private readonly pendingChecks = new Set<() => void>();
+  private arrivalCount = 0;
 
   private constructor() {}
 
-  /** Creates a desk without handovers. */
+  /** Creates a coordinator without handovers. */
   static create(): HandoverCoordinator {
     return new HandoverCoordinator();
   }
 
-  /** Another daemon says that keys are about to come from it. */
+  /** Records the ranges that another daemon has announced to move to this one. */
   expectRanges(
     sender: string,
     ranges: readonly ExpectedRange[],
     nowMs: number,
   ): void {
-    this.expectations.set(sender, { untilMs: nowMs + EXPECT_MS, ranges });
+    this.expectations.set(sender, {
+      expiresAtMs: nowMs + EXPECTATION_TTL_MS,
+      ranges,
+    });
   }
 
-  /** Another daemon says that it holds back an answer for keys to come. */
+  /** Records that another daemon delays a heartbeat response until it has received keys. */
   markAwaiting(sender: string): void {
-    this.awaiting.add(sender);
-    this.wake();
+    this.awaitingRecipients.add(sender);
+    this.runPendingChecks();
   }
 
-  /** The own keys have become more; returns which of those that were expected are among them. */
+  /** Called after the own keys have increased; returns the expected ranges that are now owned. */
   takeArrived(isOwn: (key: number) => boolean): ExpectedRange[] {
     const arrived = [...this.expectations].filter(([, { ranges }]) =>
       ranges.some(({ from }) => isOwn(from))
     );
     arrived.forEach(([sender]) => this.expectations.delete(sender));
-    this.arrivals += 1;
-    this.wake();
+    this.arrivalCount += 1;
+    this.runPendingChecks();
     return arrived.flatMap(([, { ranges }]) => ranges)
       .filter(({ from }) => isOwn(from));
   }
 
-  /** Daemons from which keys are expected. */
+  /** The daemons from which keys are expected. */
   expectedSenders(nowMs: number): string[] {
     return [...this.expectations]
-      .filter(([, { untilMs }]) => nowMs < untilMs)
+      .filter(([, { expiresAtMs }]) => nowMs < expiresAtMs)
       .map(([sender]) => sender);
   }
 
-  /** Holds back an answer until some of the expected keys have come. */
+  /** Waits until some of the expected keys are owned, or for 750 ms at most. */
   awaitKeys(now: () => number): Promise<void> {
-    const { arrivals } = this;
+    const { arrivalCount } = this;
     return this.waitUntil(() =>
-      this.arrivals > arrivals || this.expectedSenders(now()).length === 0
+      this.arrivalCount > arrivalCount ||
+      this.expectedSenders(now()).length === 0
     );
   }
 
-  /** Holds back an answer until all daemons that are to take keys hold back one, too. */
+  /** Waits until all recipients of keys delay a heartbeat response, too, or for 750 ms at most. */
   async awaitRecipients(daemons: readonly string[]): Promise<void> {
     await this.waitUntil(() =>
-      daemons.every((daemon) => this.awaiting.has(daemon))
+      daemons.every((daemon) => this.awaitingRecipients.has(daemon))
     );
-    this.awaiting.clear();
+    this.awaitingRecipients.clear();
   }
 
   private waitUntil(isDone: () => boolean): Promise<void> {
     return new Promise((resolve) => {
-      const end = () => {
+      const finish = () => {
         clearTimeout(timer);
-        this.waits.delete(look);
+        this.pendingChecks.delete(check);
         resolve();
       };
-      const look = () => {
+      const check = () => {
         if (isDone()) {
-          end();
+          finish();
         }
       };
-      const timer = setTimeout(end, HOLD_BACK_MS);
-      this.waits.add(look);
-      look();
+      const timer = setTimeout(finish, MAX_RESPONSE_DELAY_MS);
+      this.pendingChecks.add(check);
+      check();
     });
   }
 
-  private wake(): void {
-    [...this.waits].forEach((look) => look());
+  private runPendingChecks(): void {
+    [...this.pendingChecks].forEach((check) => check());
   }
 }
--- a/packages/router/src/key_rebalancer.ts
+++ b/packages/router/src/key_rebalancer.ts
@@ -1,5 +1,5 @@
 /**
- * Moves keys from the backend server on this host to cooler ones.
+ * Moves keys from the backend server on this host to less loaded ones.
  *
  * @module
  */
@@ -17,10 +17,10 @@
 import type { OwnershipDirectory } from "./ownership_directory.ts";
 import type { OwnershipLeaseManager } from "./ownership_lease_manager.ts";
 
-/** Time between two looks for keys to shed, in milliseconds. */
-const SHED_MS = 250;
+/** Interval between two attempts to plan a rebalance, in milliseconds. */
+const REBALANCE_INTERVAL_MS = 250;
 
-/** What the shedder needs. */
+/** Dependencies of the key rebalancer. */
 export interface KeyRebalancerContext {
   readonly logger: Logger;
   readonly view: MemberView;
@@ -30,43 +30,46 @@
   readonly backendManager: () => BackendManager;
   readonly handoverCoordinator: HandoverCoordinator;
   readonly leaseManager: OwnershipLeaseManager;
-  /** The service of which the backend server here owns keys, if it is of such a service. */
+  /** The service of the backend server on this host, if its keys have owners. */
   readonly ownService: () => string | undefined;
-  /** Tells a daemon that keys are about to come to it. */
+  /** Announces to a daemon the keys that are about to be moved to it. */
   readonly onMovesPlanned: (
     daemon: string,
     moves: readonly PlannedMove[],
   ) => void;
 }
 
-/** Plans moves of keys, and begins them. */
+/** Plans and begins moves of keys. */
 export class KeyRebalancer {
   private planned: readonly PlannedMove[] = [];
   private begun: readonly PlannedMove[] = [];
-  private shedAtMs = -Infinity;
+  private lastPlannedAtMs = -Infinity;
 
   private constructor(private readonly context: KeyRebalancerContext) {}
 
-  /** Creates a shedder without plans. */
+  /** Creates a rebalancer without planned moves. */
   static create(context: KeyRebalancerContext): KeyRebalancer {
     return new KeyRebalancer(context);
   }
 
-  /** Where the keys go that were given up last. */
+  /** The moves that were begun last, with the new owner of each range. */
   get destinations(): readonly PlannedMove[] {
     return this.begun;
   }
 
-  /** Moves the keys with the most work away while the own backend server is hotter than others. */
+  /** Plans moves of the keys with the highest load while the own backend server is more loaded than others. */
   tick(): void {
     const { grants, backend, view, backendManager, logger, leaseManager } =
       this.context;
     const service = this.context.ownService();
     const nowMs = steadyMs();
-    if (service === undefined || nowMs - this.shedAtMs < SHED_MS) {
+    if (
+      service === undefined ||
+      nowMs - this.lastPlannedAtMs < REBALANCE_INTERVAL_MS
+    ) {
       return;
     }
-    this.shedAtMs = nowMs;
+    this.lastPlannedAtMs = nowMs;
     const isMoving = grants.isReleasing || this.planned.length > 0;
     if (
       backendManager().phase !== "ready" || isMoving ||
@@ -78,7 +81,7 @@
       .filter((report) =>
         report.service === service && report.phase === "ready"
       )
-      .map(toLoad);
+      .map(toOwnerLoad);
     const own = {
       daemon: view.ownReport.address,
       utilization: this.utilization,
@@ -105,18 +108,18 @@
         deviation: own.deviation,
       });
     });
-    const takers = new Set(this.planned.map(({ daemon }) => daemon));
-    takers.forEach((taker) =>
+    const recipients = new Set(this.planned.map(({ daemon }) => daemon));
+    recipients.forEach((recipient) =>
       this.context.onMovesPlanned(
-        taker,
-        this.planned.filter(({ daemon }) => daemon === taker),
+        recipient,
+        this.planned.filter(({ daemon }) => daemon === recipient),
       )
     );
   }
 
   /**
-   * Work that the own keys bring for each slot. Keys that have just gone don't count any more, so that an owner
-   * does not shed once more for them.
+   * Load of the own keys per slot. Keys that have just been moved away don't count any more, so that an owner does not
+   * rebalance a second time because of them.
    */
   get utilization(): number {
     const { backend, backendManager } = this.context;
@@ -126,32 +129,32 @@
       : this.load / backendManager().slots;
   }
 
-  /** How far that may be off by chance: one standard deviation. */
+  /** Standard deviation of the utilization. */
   private get deviation(): number {
     const { backend, backendManager } = this.context;
     return backend.profile.deviationOf(this.load) /
       Math.max(1, backendManager().slots);
   }
 
-  /** Work that the own keys bring, in slots. */
+  /** Load of the own keys, in slots. */
   private get load(): number {
     const { grants, backend } = this.context;
     return backend.profile.loadOf(grants.ownRanges) / 1_000;
   }
 
-  /** Whether keys wait to be moved away with the next answer to a heartbeat. */
+  /** Whether planned moves of keys await the next response to a heartbeat. */
   get hasPlannedMoves(): boolean {
     return this.planned.length > 0;
   }
 
   /**
-   * Begins the planned moves, in the answer to a heartbeat: until then the backend server goes on
-   * serving the keys, and the new owners are ready to take them.
+   * Begins the planned moves just before a heartbeat is responded to. Until that response the backend server goes on
+   * serving the keys, and by then the new owners are ready to receive them.
    */
   async beginMoves(): Promise<void> {
     const { planned } = this;
-    const takers = [...new Set(planned.map(({ daemon }) => daemon))];
-    await this.context.handoverCoordinator.awaitRecipients(takers);
+    const recipients = [...new Set(planned.map(({ daemon }) => daemon))];
+    await this.context.handoverCoordinator.awaitRecipients(recipients);
     this.planned = [];
     const service = this.context.ownService();
     if (
@@ -164,6 +167,6 @@
   }
 }
 
-function toLoad({ address, utilization, slots, serviceMs }: MemberReport) {
+function toOwnerLoad({ address, utilization, slots, serviceMs }: MemberReport) {
   return { daemon: address, utilization, slots, serviceMs };
 }
--- a/packages/router/src/ownership_leader.ts
+++ b/packages/router/src/ownership_leader.ts
@@ -1,6 +1,6 @@
 /**
- * Assigns keys without an owner, takes them from lost owners, and names arbiters: what one daemon does for all
- * owners of a service.
+ * Assigns keys without an owner, takes over the keys of lost owners, and appoints arbiters: what the leading daemon does
+ * for all owners of a service.
  *
  * @module
  */
@@ -22,12 +22,12 @@
 import type { RecordInspector } from "./record_inspector.ts";
 import type { RecordWriter } from "./record_writer.ts";
 
-/** An owner that has been silent for so much longer than it takes to be silent is sealed, in ms. */
-const SEAL_AFTER_SILENCE_MS = 500;
-/** A leading daemon acts only once it has heard the others for so long, in milliseconds. */
-const SETTLE_MS = 1_500;
+/** An owner is sealed when it has been unresponsive for this much longer than the time-out of the member view, in ms. */
+const SEAL_DELAY_MS = 500;
+/** A daemon leads only after it has received the reports of the others for this long, in milliseconds. */
+const MIN_OBSERVATION_MS = 1_500;
 
-/** What the leader needs. */
+/** Dependencies of the ownership leader. */
 export interface OwnershipLeaderContext {
   readonly view: MemberView;
   readonly directory: OwnershipDirectory;
@@ -36,28 +36,28 @@
   readonly backendManager: () => BackendManager;
 }
 
-/** The part of one daemon in deciding who owns what. */
+/** One daemon's part in assigning keys, as the leader or as an arbiter. */
 export class OwnershipLeader {
   private readonly waits = new Map<string, TakeoverWaits>();
   private readonly promises = new Map<string, PromiseBook>();
   private readonly startedAtMs = steadyMs();
   private readonly bootedAtMs = bootMs();
-  private registration = Infinity;
+  private registrationRevision = Infinity;
 
   private constructor(private readonly context: OwnershipLeaderContext) {}
 
-  /** Creates a leader that has seen no record. */
+  /** Creates a leader that knows no record yet. */
   static create(context: OwnershipLeaderContext): OwnershipLeader {
     return new OwnershipLeader(context);
   }
 
-  /** Notes a revision of the store that was written by this process. */
+  /** Sets a revision of the store that was written by this process. */
   onRegistered(revision: number): void {
-    this.registration = revision;
+    this.registrationRevision = revision;
     this.promises.forEach((book) => book.noteStart(revision));
   }
 
-  /** Notes seals and appointments, from which waits are counted. */
+  /** Takes in the seals and appointments of a record; the waits before a takeover count from them. */
   onRecord(service: string, record: OwnershipRecord): void {
     const waits = this.waits.get(service) ?? TakeoverWaits.create();
     this.waits.set(service, waits);
@@ -65,18 +65,18 @@
     const promises = this.promises.get(service) ??
       PromiseBook.create(this.bootedAtMs);
     this.promises.set(service, promises);
-    promises.noteStart(this.registration);
+    promises.noteStart(this.registrationRevision);
     promises.note(record);
   }
 
-  /** Whether an owner is promised not to be taken over. */
+  /** Whether this daemon may promise an owner not to take over its keys. */
   mayPromise(service: string, question: PromiseQuestion): boolean {
     return this.promises.get(service)?.mayPromise(question, bootMs()) === true;
   }
 
   /**
-   * The leading daemon gives keys without an owner to one, and takes them from lost ones; so does an arbiter as
-   * soon as it may.
+   * Runs the due steps; called by the control loop. The leading daemon assigns keys without an owner and takes over those
+   * of lost owners; an arbiter does so, too, as soon as it may.
    */
   tick(): void {
     const { directory } = this.context;
@@ -85,36 +85,38 @@
       const known = directory.record(service);
       if (isLeading) {
         this.leadService(service);
-      } else if (known !== undefined && this.findEnded(service, known).length) {
-        this.assignNeedy(service);
+      } else if (
+        known !== undefined && this.findExpiredSeals(service, known).length
+      ) {
+        this.assignAvailable(service);
       }
     });
   }
 
-  /** Any daemon may write, since writes are conditional; one of them does, to save calls. */
+  /** Any daemon may write, since writes are conditional; only one of them does, to save store calls. */
   private isLeading(): boolean {
     const { view } = this.context;
-    const hasSettled = steadyMs() - this.startedAtMs >= SETTLE_MS;
-    return hasSettled && view.ownReport.reachesStore &&
+    const hasObserved = steadyMs() - this.startedAtMs >= MIN_OBSERVATION_MS;
+    return hasObserved && view.ownReport.reachesStore &&
       this.findLeader() === undefined;
   }
 
-  /** The daemon that leads, if it is another one: the first that reaches the store, in the order of addresses. */
+  /** The leading daemon, if it is another one: the first in the order of addresses that reaches the store. */
   findLeader(): string | undefined {
-    const first = this.context.view.alive(steadyMs())
+    const firstAddress = this.context.view.alive(steadyMs())
       .filter(({ reachesStore, phase }) => reachesStore && phase !== "stopping")
       .map(({ address }) => address)
       .reduce(
-        (least, address) => address < least ? address : least,
-        this.own,
+        (lowest, address) => address < lowest ? address : lowest,
+        this.ownAddress,
       );
-    return first === this.own ? undefined : first;
+    return firstAddress === this.ownAddress ? undefined : firstAddress;
   }
 
-  /** The daemon that reads for all owners, if one reaches the store: the leading one, for itself, too. */
+  /** The shared reader, if any daemon reaches the store: the leading daemon, which reads for itself, too. */
   findReader(): string | undefined {
     return this.findLeader() ??
-      (this.context.view.ownReport.reachesStore ? this.own : undefined);
+      (this.context.view.ownReport.reachesStore ? this.ownAddress : undefined);
   }
 
   private leadService(service: string): void {
@@ -136,69 +138,74 @@
       this.assignFirst(service);
       return;
     }
-    if (!this.assignNeedy(service) && !this.sealLost(service, known)) {
+    if (!this.assignAvailable(service) && !this.sealLost(service, known)) {
       this.appointArbiters(service, known);
     }
   }
 
-  /** Puts a record in the place of one that can't be read, or is of a former era of the store. */
+  /** Replaces a record that can't be read, or that belongs to an earlier era of the store. */
   private replaceRecord(service: string): void {
     const { inspector, writer } = this.context;
-    const former = inspector.findRestorableRecord(service);
-    if (former !== undefined) {
-      void writer.restore(service, former);
+    const earlier = inspector.findRestorableRecord(service);
+    if (earlier !== undefined) {
+      void writer.restore(service, earlier);
       return;
     }
-    const spoiled = inspector.findRepairableRevision(service);
-    if (spoiled !== undefined) {
-      void writer.repair(service, spoiled);
+    const corruptRevision = inspector.findRepairableRevision(service);
+    if (corruptRevision !== undefined) {
+      void writer.repair(service, corruptRevision);
     }
   }
 
-  /** Assigns keys without an owner, and those of owners whose tenure has ended; returns whether there are any. */
-  private assignNeedy(service: string): boolean {
+  /** Assigns keys without an owner and those of owners whose lease has expired; returns whether there are any. */
+  private assignAvailable(service: string): boolean {
     const known = this.context.directory.record(service);
-    const takers = this.allTakers(service);
-    if (known === undefined || takers.length === 0) {
+    const candidates = this.allCandidates(service);
+    if (known === undefined || candidates.length === 0) {
       return false;
     }
-    const needy = [
+    const available = [
       ...known.findUnowned(),
-      ...this.findEnded(service, known).flatMap((seal) =>
+      ...this.findExpiredSeals(service, known).flatMap((seal) =>
         known.rangesUnder(seal)
       ),
     ];
-    if (needy.length === 0) {
+    if (available.length === 0) {
       return false;
     }
     void this.context.writer.write(service, "assign", (record) => {
       if (record.revision !== known.revision) {
         return undefined;
       }
-      const free = record.release(needy);
-      return free.assign(assignUnowned(free, needy, takers));
+      const withoutOwners = record.release(available);
+      return withoutOwners.assign(
+        assignUnowned(withoutOwners, available, candidates),
+      );
     });
     return true;
   }
 
-  /** The seals under which the owner's tenure has certainly ended, as far as the own daemon may say so. */
-  private findEnded(service: string, known: OwnershipRecord): number[] {
+  /**
+   * The seals under which the owner's lease has certainly expired, as far as this daemon may decide it: as an arbiter or
+   * as the leader.
+   */
+  private findExpiredSeals(service: string, known: OwnershipRecord): number[] {
     const nowMs = bootMs();
     const waits = this.waits.get(service);
-    const office = known.officeOf(this.own);
-    if (office === undefined && !this.isLeading()) {
+    const appointment = known.officeOf(this.ownAddress);
+    if (appointment === undefined && !this.isLeading()) {
       return [];
     }
     return known.sealedOwners
       .map(({ seal }) => seal)
-      .filter((seal) => waits?.isOver(seal, nowMs, office) === true);
+      .filter((seal) => waits?.isOver(seal, nowMs, appointment) === true);
   }
 
-  /** Names living daemons as arbiters, so that the keys of a lost host are free soon. */
+  /** Appoints live daemons as arbiters, so that the keys of a lost host can be reassigned soon. */
   private appointArbiters(service: string, known: OwnershipRecord): void {
-    const present = known.arbiters.map(({ daemon }) => daemon);
+    const currentArbiters = known.arbiters.map(({ daemon }) => daemon);
     const chosen = this.chooseArbiters(service, known);
-    if (present.toSorted().join() === chosen.toSorted().join()) {
+    if (currentArbiters.toSorted().join() === chosen.toSorted().join()) {
       return;
     }
     void this.context.writer.write(
@@ -222,8 +229,8 @@
         reachesStore: report.reachesStore,
       }),
     );
-    const present = record.arbiters.map(({ daemon }) => daemon);
-    return chooseArbiters(present, candidates);
+    const currentArbiters = record.arbiters.map(({ daemon }) => daemon);
+    return chooseArbiters(currentArbiters, candidates);
   }
 
   private assignFirst(service: string): void {
@@ -232,11 +239,11 @@
     const alive = view.alive(nowMs);
     const members = [...alive, view.ownReport]
       .filter((report) => report.service === service);
-    const takers = this.allTakers(service);
+    const candidates = this.allCandidates(service);
     const isDue = isFirstAssignmentDue({
       unheard: view.known.length - alive.length,
       unannounced: members.filter(({ phase }) => phase === "absent").length,
-      takers: takers.length,
+      takers: candidates.length,
       waitedMs: nowMs - this.startedAtMs,
     });
     if (!isDue) {
@@ -247,20 +254,20 @@
       "first",
       (record) =>
         record.revision > 0 ? undefined : record.assign(
-          assignUnowned(record, [{ from: 0, to: KEY_COUNT - 1 }], takers),
+          assignUnowned(record, [{ from: 0, to: KEY_COUNT - 1 }], candidates),
         ).appoint(this.chooseArbiters(service, record)),
     );
   }
 
-  /** Seals owners that are silent; returns whether there are any. */
+  /** Seals unresponsive owners; returns whether there are any. */
   private sealLost(service: string, known: OwnershipRecord): boolean {
     const { view } = this.context;
     const nowMs = steadyMs();
-    const heardForMs = nowMs - this.startedAtMs;
+    const observedMs = nowMs - this.startedAtMs;
     const lost = known.daemons.filter((daemon) =>
       !known.isSealed(daemon) &&
-      Math.min(view.silentMs(daemon, nowMs), heardForMs) >
-        view.silentAfterMs + SEAL_AFTER_SILENCE_MS
+      Math.min(view.silentMs(daemon, nowMs), observedMs) >
+        view.silentAfterMs + SEAL_DELAY_MS
     );
     if (lost.length === 0) {
       return false;
@@ -274,29 +281,30 @@
     return true;
   }
 
-  private allTakers(service: string): Candidate[] {
+  private allCandidates(service: string): Candidate[] {
     const { view, backendManager } = this.context;
-    const own = backendManager();
-    const isTaker = own.service === service && own.phase === "ready";
+    const ownBackend = backendManager();
+    const isCandidate = ownBackend.service === service &&
+      ownBackend.phase === "ready";
     return [
-      ...this.takers(service),
-      ...(isTaker
-        ? [{ daemon: view.ownReport.address, weight: own.slots }]
+      ...this.candidatesFor(service),
+      ...(isCandidate
+        ? [{ daemon: view.ownReport.address, weight: ownBackend.slots }]
         : []),
     ];
   }
 
-  /** Other backend servers of a service that take keys. */
-  private takers(service: string): Candidate[] {
+  /** The other backend servers of a service that may own keys. */
+  private candidatesFor(service: string): Candidate[] {
     return findCandidates(this.context.view, service);
   }
 
-  private get own(): string {
+  private get ownAddress(): string {
     return this.context.view.ownReport.address;
   }
 }
 
-/** The backend servers of a service that take keys, without the own one. */
+/** The live backend servers of a service that may own keys, without the one on this host. */
 export function findCandidates(view: MemberView, service: string): Candidate[] {
   return view.alive(steadyMs())
     .filter((report) => report.service === service && report.phase === "ready")
--- a/packages/router/src/ownership_lease_manager.ts
+++ b/packages/router/src/ownership_lease_manager.ts
@@ -1,6 +1,6 @@
 /**
- * Extends the right of this daemon to grant its keys: by reads of the record, and by the promises of the arbiters
- * while it can't be read.
+ * Renews the ownership lease of this daemon, its right to grant its keys: by reads of the record, or by promises of the
+ * arbiters while the record can't be read.
  *
  * @module
  */
@@ -22,39 +22,42 @@
   type OwnershipDirectory,
 } from "./ownership_directory.ts";
 
-/** The same while keys wait to be given to others until the store is back, in milliseconds. */
-const CONFIRM_LEAVING_MS = 400;
 /**
- * Keys are moved only while the record was read within this time, in milliseconds. What is given up while
- * the store can't be written has no owner until it can.
+ * Interval between reads of the record while keys are to be released to others as soon as the store is back, in
+ * milliseconds; otherwise it is `CONFIRM_MS`.
  */
-const MOVABLE_MS = 2 * CONFIRM_MS;
+const RELEASE_CONFIRM_INTERVAL_MS = 400;
 /**
- * A tenure that was not confirmed for so long depends on the promises of the arbiters soon, in milliseconds: a
- * read that is due every 1.5 s, and may be gathered for 0.6 s, has failed.
+ * Keys are moved only if the record was read within this time, in milliseconds: keys that are released while the store
+ * can't be written have no owner until it can.
  */
-const ASK_AFTER_MS = 2_400;
-/** Time between two questions for a promise, in milliseconds; one holds for 2.5 s. */
-const ASK_MS = 500;
-/** How long the store may take to answer before keys are given up, in milliseconds; usually it takes 4. */
-const PROBE_MS = 400;
+const MAX_MOVE_CONFIRMATION_AGE_MS = 2 * CONFIRM_MS;
+/**
+ * Arbiters are asked for promises once the lease has not been confirmed for this long, in milliseconds: by then a read,
+ * which is due every 1.5 s and may be delayed by 0.6 s for batching, has failed.
+ */
+const PROMISE_REQUEST_DELAY_MS = 2_400;
+/** Interval between requests for promises, in milliseconds; a promise is valid for 2.5 s. */
+const PROMISE_REQUEST_INTERVAL_MS = 500;
+/** Time-out of the read before keys are released, in milliseconds; a read typically takes 4 ms. */
+const STORE_READ_TIMEOUT_MS = 400;
 
 /**
- * An owner reads for itself if the daemon that reads for all has not answered for so long, in milliseconds: it
- * gathers questions for 600, and the store takes a few.
+ * An owner reads the store itself if the shared reader has not responded within this time, in milliseconds: the shared
+ * reader collects requests for up to 600 ms, and a read takes a few milliseconds.
  */
-const SHARED_READ_MS = 800;
+const SHARED_READ_TIMEOUT_MS = 800;
 
-/** What an arbiter is asked. */
+/** A request to an arbiter for its promise. */
 export interface LeasePromiseRequest {
   readonly service: string;
-  /** The own clock, in milliseconds; comes back with the promise. */
+  /** The requester's clock in milliseconds; returned with the promise. */
   readonly askedAtMs: number;
-  /** Revision of the record by which the tenure was last confirmed. */
+  /** Revision of the record by which the lease was last confirmed. */
   readonly confirmedRevision: number;
 }
 
-/** What the keeper needs. */
+/** Dependencies of the ownership lease manager. */
 export interface OwnershipLeaseManagerContext {
   readonly store: Store;
   readonly logger: Logger;
@@ -63,87 +66,87 @@
   readonly lease: Tenure;
   readonly grants: GrantBook;
   readonly random: () => number;
-  /** The own daemon's address. */
+  /** Address of this daemon. */
   readonly ownAddress: () => string;
-  /** The service of which the backend server here owns keys, if it is of such a service. */
+  /** The service of the backend server on this host, if its keys have owners. */
   readonly ownService: () => string | undefined;
-  /** The daemon that reads for all owners, if there is one. */
+  /** Address of the shared reader, the daemon that reads the store for all owners, if there is one. */
   readonly findReader: () => string | undefined;
-  /** Asks the daemon that reads for all what the store holds. */
+  /** Requests a read of the record from the shared reader. */
   readonly onSharedReadNeeded: (
     reader: string,
-    question: SharedReadRequest,
+    request: SharedReadRequest,
   ) => void;
-  /** Whether keys wait to be given to others. */
+  /** Whether keys are to be released to others. */
   readonly isReleasingKeys: () => boolean;
-  /** Called with each read of the own service's record. */
+  /** Called after each successful read of the own service's record. */
   readonly onRead: (service: string) => void;
-  /** Called when the own daemon is found to be sealed. */
+  /** Called when the record shows that this daemon is sealed. */
   readonly onSealed: (service: string) => void;
-  /** Asks an arbiter for its promise; the daemon's clock comes back with it. */
+  /** Requests a promise from an arbiter, which returns the timestamp of the request with it. */
   readonly onPromiseNeeded: (
     arbiter: string,
-    question: LeasePromiseRequest,
+    request: LeasePromiseRequest,
   ) => void;
 }
 
-/** Keeps the tenure of the backend server on this host. */
+/** Renews the ownership lease of the backend server on this host. */
 export class OwnershipLeaseManager {
-  private readonly turns: ConfirmTurns;
-  /** When the daemon that reads for all was asked, if its answer is still awaited. */
-  private sharedAskedMs: number | undefined;
-  private askedAtMs = -Infinity;
-  private isConfirming = false;
-  private isOnPromises = false;
+  private readonly confirmSchedule: ConfirmTurns;
+  /** When a read was requested from the shared reader, while its response is awaited. */
+  private sharedReadRequestedAtMs: number | undefined;
+  private promisesRequestedAtMs = -Infinity;
+  private isReadingDirectly = false;
+  private dependsOnPromises = false;
 
   private constructor(private readonly context: OwnershipLeaseManagerContext) {
-    this.turns = ConfirmTurns.create(context.random);
+    this.confirmSchedule = ConfirmTurns.create(context.random);
   }
 
-  /** Creates a keeper. */
   static create(context: OwnershipLeaseManagerContext): OwnershipLeaseManager {
     return new OwnershipLeaseManager(context);
   }
 
-  /** Does what is due. */
+  /** Runs the due steps; called by the control loop. */
   tick(): void {
     const service = this.context.ownService();
     if (service === undefined) {
-      this.isOnPromises = false;
+      this.dependsOnPromises = false;
       return;
     }
     this.confirm(service);
-    this.missSharedRead(service);
-    this.askPromises(service);
+    this.handleSharedReadTimeout(service);
+    this.requestPromises(service);
   }
 
   /**
-   * Takes what the daemon that reads for all has found after it was asked. An answer with the revision of the known
-   * record, or of an earlier one, says that the known record was in force after the question; one with a later
-   * revision says that there is news.
+   * Handles a response of the shared reader, which read the store after the request had arrived. A revision that is not
+   * higher than the known record's proves that the known record was in force after the request; a higher one means that
+   * there is a newer record, which is then read.
    */
   onSharedRead({ service, askedAtMs, revision }: SharedReadResponse): void {
     const record = this.context.directory.record(service);
     if (service !== this.context.ownService() || record === undefined) {
       return;
     }
-    this.sharedAskedMs = undefined;
-    this.turns.noteShared(bootMs());
+    this.sharedReadRequestedAtMs = undefined;
+    this.confirmSchedule.noteShared(bootMs());
     if (record.revision < revision) {
       void this.read(service, bootMs());
       return;
     }
     this.context.onRead(service);
-    this.confirmBy(service, record, askedAtMs);
+    this.confirmByRecord(service, record, askedAtMs);
   }
 
-  /** Whether a move that begins now can be written, as far as that is known. */
+  /** Whether a move of keys that begins now can probably be written to the store. */
   isMovable(): boolean {
-    return this.context.lease.confirmedForMs(bootMs()) < MOVABLE_MS &&
+    return this.context.lease.confirmedForMs(bootMs()) <
+        MAX_MOVE_CONFIRMATION_AGE_MS &&
       !this.isRestored;
   }
 
-  /** Whether nobody is given keys for now, since the store has lost who else may hold them. */
+  /** Whether keys may not be assigned for now, since the store has lost the record of who else may hold them. */
   private get isRestored(): boolean {
     const service = this.context.ownService();
     return service !== undefined &&
@@ -151,51 +154,59 @@
   }
 
   /**
-   * Asks the store just before keys are given up. Keys that were given up in the seconds before an outage was
-   * noticed had no owner until its end.
+   * Checks by a read that the store is reachable, just before keys are released. Without it, keys that were released in
+   * the seconds before an outage was detected had no owner until the outage ended.
    */
   async reachesStore(service: string): Promise<boolean> {
     const sentAtMs = bootMs();
     if (this.context.findReader() === undefined) {
-      // It confirms the tenure, too, so the next read for that need not come sooner than after this one.
-      this.turns.noteSent(sentAtMs);
+      // This read also confirms the lease, so the interval to the next one starts now.
+      this.confirmSchedule.noteSent(sentAtMs);
     }
     const read = this.read(service, sentAtMs);
-    await Promise.race([read, sleep(PROBE_MS, undefined, { ref: false })]);
+    await Promise.race([
+      read,
+      sleep(STORE_READ_TIMEOUT_MS, undefined, { ref: false }),
+    ]);
     return this.context.lease.confirmedForMs(sentAtMs) <= 0 &&
       !this.isRestored;
   }
 
-  /** Reads the record to prove that no takeover of this daemon can have finished. */
+  /** Confirms the lease by a read of the record, which proves that no takeover of this daemon's keys can have finished. */
   private confirm(service: string): void {
     const nowMs = bootMs();
-    const hasToGiveUp = this.context.isReleasingKeys() && !this.isMovable();
-    const pauseMs = hasToGiveUp ? CONFIRM_LEAVING_MS : undefined;
-    if (!this.turns.isDue(nowMs, pauseMs) || this.isConfirming) {
+    const mustRelease = this.context.isReleasingKeys() && !this.isMovable();
+    const intervalMs = mustRelease ? RELEASE_CONFIRM_INTERVAL_MS : undefined;
+    if (
+      !this.confirmSchedule.isDue(nowMs, intervalMs) || this.isReadingDirectly
+    ) {
       return;
     }
-    this.turns.noteSent(nowMs);
-    const reader = hasToGiveUp ? undefined : this.context.findReader();
+    this.confirmSchedule.noteSent(nowMs);
+    const reader = mustRelease ? undefined : this.context.findReader();
     if (reader === undefined) {
-      this.readAlone(service, nowMs);
+      this.readDirectly(service, nowMs);
       return;
     }
-    this.sharedAskedMs = nowMs;
+    this.sharedReadRequestedAtMs = nowMs;
     this.context.onSharedReadNeeded(reader, { service, askedAtMs: nowMs });
   }
 
-  private missSharedRead(service: string): void {
+  private handleSharedReadTimeout(service: string): void {
     const nowMs = bootMs();
-    if (nowMs - (this.sharedAskedMs ?? Infinity) > SHARED_READ_MS) {
-      this.sharedAskedMs = undefined;
-      this.readAlone(service, nowMs);
+    if (
+      nowMs - (this.sharedReadRequestedAtMs ?? Infinity) >
+        SHARED_READ_TIMEOUT_MS
+    ) {
+      this.sharedReadRequestedAtMs = undefined;
+      this.readDirectly(service, nowMs);
     }
   }
 
-  private readAlone(service: string, nowMs: number): void {
-    this.isConfirming = true;
+  private readDirectly(service: string, nowMs: number): void {
+    this.isReadingDirectly = true;
     void this.read(service, nowMs).finally(() => {
-      this.isConfirming = false;
+      this.isReadingDirectly = false;
     });
   }
 
@@ -208,23 +219,23 @@
     }
     const record = inspector.inspect(service, found.value);
     if (record === undefined) {
-      // Nothing is confirmed: the next record may name other owners at any moment.
+      // Confirms nothing, since a new record may name other owners at any moment.
       return;
     }
     directory.updateRecord(service, record);
     onRead(service);
-    this.confirmBy(service, record, sentAtMs);
+    this.confirmByRecord(service, record, sentAtMs);
   }
 
-  /** The record was in force at a time after `sinceMs`. */
-  private confirmBy(
+  /** Confirms the lease by a record that was in force at some time after `requestedAtMs`, or handles its seal. */
+  private confirmByRecord(
     service: string,
     record: OwnershipRecord,
-    sinceMs: number,
+    requestedAtMs: number,
   ): void {
     const { logger, lease, grants, ownAddress, onSealed } = this.context;
     if (this.context.ownService() !== service) {
-      // The backend server was replaced by one of another service while the read was under way.
+      // The backend server was replaced by one of another service while the read was in flight.
       return;
     }
     if (!record.isSealed(ownAddress())) {
@@ -235,7 +246,7 @@
         revision: record.revision,
         hasLapsed: lease.hasLapsed(bootMs()),
       });
-      lease.confirm(sinceMs, record);
+      lease.confirm(requestedAtMs, record);
       return;
     }
     logger.log("ownership_sealed_here", {
@@ -246,32 +257,32 @@
     onSealed(service);
   }
 
-  /** While the store can't be read, the tenure goes on as long as all arbiters promise. */
-  private askPromises(service: string): void {
+  /** While the store can't be read, the lease stays valid as long as all arbiters promise not to take over. */
+  private requestPromises(service: string): void {
     const { lease, logger, onPromiseNeeded } = this.context;
     const nowMs = bootMs();
     const confirmedForMs = lease.confirmedForMs(nowMs);
-    if (confirmedForMs <= ASK_AFTER_MS) {
-      this.isOnPromises = false;
+    if (confirmedForMs <= PROMISE_REQUEST_DELAY_MS) {
+      this.dependsOnPromises = false;
       return;
     }
-    if (nowMs - this.askedAtMs < ASK_MS) {
+    if (nowMs - this.promisesRequestedAtMs < PROMISE_REQUEST_INTERVAL_MS) {
       return;
     }
-    this.askedAtMs = nowMs;
-    if (!this.isOnPromises) {
-      this.isOnPromises = true;
+    this.promisesRequestedAtMs = nowMs;
+    if (!this.dependsOnPromises) {
+      this.dependsOnPromises = true;
       logger.log("tenure_on_promises", {
         service,
         confirmed_for_ms: Math.round(confirmedForMs),
         arbiters: lease.arbiters.map(({ daemon }) => daemon),
       });
     }
-    const question = {
+    const request = {
       service,
       askedAtMs: nowMs,
       confirmedRevision: lease.confirmedRevision,
     };
-    lease.arbiters.forEach(({ daemon }) => onPromiseNeeded(daemon, question));
+    lease.arbiters.forEach(({ daemon }) => onPromiseNeeded(daemon, request));
   }
 }
--- a/packages/router/src/ownership_lease_manager_test.ts
+++ b/packages/router/src/ownership_lease_manager_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of what confirms the right of a daemon to its keys.
+ * Tests of what confirms the ownership lease of a daemon.
  *
  * @module
  */
@@ -19,14 +19,16 @@
   .assign([{ from: 0, to: 99, daemon: "own", handover: "" }])
   .withRevision(7);
 
-/** A daemon that knows the record, and a store that holds something, or nothing. */
-function createKeeper(stored: { value: string; revision: number } | undefined) {
+/** Creates the lease manager of a daemon that knows the record, with a store that holds a value or nothing. */
+function createManager(
+  stored: { value: string; revision: number } | undefined,
+) {
   const logger = Logger.createBounded("test", { level: "error" });
   const directory = OwnershipDirectory.create(logger);
   directory.updateRecord(SERVICE, RECORD);
   const lease = Tenure.create();
   const found = stored === undefined ? undefined : { key: "", ...stored };
-  const keeper = OwnershipLeaseManager.create({
+  const manager = OwnershipLeaseManager.create({
     store: { get: () => okAsync(found) } as unknown as Store,
     logger,
     directory,
@@ -43,51 +45,50 @@
     onSealed: () => undefined,
     onPromiseNeeded: () => undefined,
   });
-  return { keeper, lease };
+  return { manager, lease };
 }
 
 async function isConfirmed(
   stored: { value: string; revision: number } | undefined,
 ): Promise<boolean> {
-  const { keeper, lease } = createKeeper(stored);
-  keeper.tick();
+  const { manager, lease } = createManager(stored);
+  manager.tick();
   await nextTurn();
   return lease.longestHoldMs(bootMs()) > 0;
 }
 
-describe("lease keeper", () => {
-  describe("that finds the record that it knows", () => {
+describe("ownership lease manager", () => {
+  describe("when it reads the record that it knows", () => {
     it("confirms the lease", async () => {
       const stored = { value: RECORD.encode(), revision: 7 };
       expect(await isConfirmed(stored)).to.equal(true);
     });
   });
 
-  describe("that finds no record where it knows one", () => {
-    // Symptom: two backend servers hold the same keys.
-    // Sequence: somebody deletes the record; a daemon that starts then divides the keys anew, while the owners of
-    // before go on.
-    // Cause: an empty record shows no seal, and so confirmed every lease.
+  describe("when the record that it knows is missing from the store", () => {
+    // Guards against two backend servers that hold the same keys: after the record was deleted, a daemon that started
+    // assigned the keys anew, while the previous owners went on, since an empty record shows no seal and so confirmed
+    // every lease.
     it("confirms nothing", async () => {
       expect(await isConfirmed(undefined)).to.equal(false);
     });
   });
 
-  describe("that finds a record that can't be read", () => {
+  describe("when it reads a corrupt record", () => {
     it("confirms nothing", async () => {
-      const spoiled = { value: "{ spoiled", revision: 8 };
-      expect(await isConfirmed(spoiled)).to.equal(false);
+      const corrupt = { value: "{ spoiled", revision: 8 };
+      expect(await isConfirmed(corrupt)).to.equal(false);
     });
   });
 
-  describe("that is answered by the daemon that reads for all", () => {
-    it("counts from when it asked if it knows that record, and reads for itself if there is news", async () => {
-      const { keeper, lease } = createKeeper({ value: "{", revision: 8 });
+  describe("when the shared reader responds", () => {
+    it("confirms from the time of its request if it knows that revision, and reads the store if there is a newer one", async () => {
+      const { manager, lease } = createManager({ value: "{", revision: 8 });
       const askedAtMs = bootMs() - 300;
-      keeper.onSharedRead({ service: SERVICE, askedAtMs, revision: 8 });
+      manager.onSharedRead({ service: SERVICE, askedAtMs, revision: 8 });
       await nextTurn();
       expect(lease.longestHoldMs(bootMs())).to.equal(0);
-      keeper.onSharedRead({ service: SERVICE, askedAtMs, revision: 7 });
+      manager.onSharedRead({ service: SERVICE, askedAtMs, revision: 7 });
       expect(lease.confirmedForMs(askedAtMs)).to.equal(0);
     });
   });
--- a/packages/router/src/ownership_manager.ts
+++ b/packages/router/src/ownership_manager.ts
@@ -1,6 +1,6 @@
 /**
- * Ownership as one daemon takes part in it: grants follow the records, and what the backend server here gives up
- * goes to others.
+ * One daemon's part in key ownership: updates the grants from the ownership records, and reassigns the keys that the
+ * backend server on this host has released.
  *
  * @module
  */
@@ -34,10 +34,10 @@
   OwnershipLeaseManager,
 } from "./ownership_lease_manager.ts";
 
-/** Heartbeats of the own backend server that stay away for so long won't come soon, in milliseconds. */
-const HEARTBEATS_MISSED_MS = 3_000;
+/** Without a heartbeat of the own backend server for this long, none is expected soon, in milliseconds. */
+const HEARTBEAT_TIMEOUT_MS = 3_000;
 
-/** What the keeper needs. */
+/** Dependencies of the ownership manager. */
 export interface OwnershipManagerContext {
   readonly store: Store;
   readonly logger: Logger;
@@ -50,33 +50,33 @@
   readonly backendManager: () => BackendManager;
   readonly handoverCoordinator: HandoverCoordinator;
   readonly random: () => number;
-  /** Tells all daemons of a newer record. */
+  /** Announces a newer record to all daemons. */
   readonly onWritten: (service: string, record: OwnershipRecord) => void;
-  /** Tells a daemon that keys are about to come to it. */
+  /** Announces to a daemon the keys that are about to be moved to it. */
   readonly onMovesPlanned: (
     daemon: string,
     moves: readonly PlannedMove[],
   ) => void;
-  /** Asks the daemon that reads for all owners what the store holds. */
+  /** Requests a read of the record from the shared reader, the daemon that reads the store for all owners. */
   readonly onSharedReadNeeded: (
     reader: string,
     question: SharedReadRequest,
   ) => void;
-  /** Asks an arbiter for its promise; the daemon's clock comes back with it. */
+  /** Requests a promise from an arbiter, which returns the timestamp of the request with it. */
   readonly onPromiseNeeded: (
     arbiter: string,
     question: LeasePromiseRequest,
   ) => void;
 }
 
-/** Ownership as one daemon takes part in it. */
+/** Keeps the grants, the ownership lease and the ownership records of one daemon up to date. */
 export class OwnershipManager {
   private readonly writer: RecordWriter;
   private readonly leaseManager: OwnershipLeaseManager;
   private readonly rebalancer: KeyRebalancer;
   private readonly leader: OwnershipLeader;
-  private readonly handovers: FreedRange[] = [];
-  private registration = 0;
+  private readonly freedRanges: FreedRange[] = [];
+  private registrationRevision = 0;
 
   private constructor(private readonly context: OwnershipManagerContext) {
     const ownService = () => this.ownService;
@@ -84,11 +84,11 @@
     this.leaseManager = OwnershipLeaseManager.create({
       ...context,
       ownService,
-      ownAddress: () => this.own,
+      ownAddress: () => this.ownAddress,
       findReader: () => this.leader.findReader(),
       isReleasingKeys: () => this.isReleasingKeys,
-      onRead: (service) => this.ensureTokens(service),
-      onSealed: (service) => this.answerSeal(service),
+      onRead: (service) => this.reapplyRecord(service),
+      onSealed: (service) => this.handleSeal(service),
     });
     this.rebalancer = KeyRebalancer.create({
       ...context,
@@ -98,43 +98,44 @@
     this.leader = OwnershipLeader.create({ ...context, writer: this.writer });
   }
 
-  /** Creates a keeper. */
   static create(context: OwnershipManagerContext): OwnershipManager {
-    const keeper = new OwnershipManager(context);
+    const manager = new OwnershipManager(context);
     context.directory.onRecord((service, record) =>
-      keeper.noteRecord(service, record)
+      manager.applyRecord(service, record)
     );
-    return keeper;
+    return manager;
   }
 
   /**
-   * Notes a revision of the store that was written by this process. Tokens come from then on: an
-   * earlier process of this daemon can't have used a higher one.
+   * Sets a revision of the store that was written by this process. It is the lower bound of the fencing tokens: no
+   * earlier process of this daemon can have used a higher one.
    */
   onRegistered(revision: number): void {
-    this.registration = revision;
+    this.registrationRevision = revision;
     this.leader.onRegistered(revision);
     this.context.directory.keyedServices.forEach((service) => {
       const record = this.context.directory.record(service);
       if (record !== undefined) {
-        this.noteRecord(service, record);
+        this.applyRecord(service, record);
       }
     });
   }
 
-  /** Whether the daemon knows who owns what, so that it may grant. */
+  /** Whether the daemon may grant keys of a service: it is registered and knows the service's record. */
   mayGrant(service: string): boolean {
-    return this.registration > 0 &&
+    return this.registrationRevision > 0 &&
       this.context.directory.record(service) !== undefined;
   }
 
   /**
-   * The backend server leaves: its keys are given up in the answer that acknowledges it, if the store can be
-   * written; returns whether they are, or nobody is there to take them.
+   * Begins the release of all keys of a draining backend server, if the store is reachable, so that the response that
+   * acknowledges the drain releases them.
+   *
+   * @returns false if the keys can't be released now; true also if no other backend server could own them.
    */
   async releaseAll(): Promise<boolean> {
     const service = this.ownService;
-    if (service === undefined || this.takers(service).length === 0) {
+    if (service === undefined || this.candidatesFor(service).length === 0) {
       return true;
     }
     if (!await this.leaseManager.reachesStore(service)) {
@@ -145,62 +146,63 @@
     return true;
   }
 
-  /** Whether keys are still the own daemon's by the record that others should have. */
+  /** Whether the record still names this daemon as the owner of keys that others should own. */
   get isReleasingKeys(): boolean {
     const { grants, backendManager } = this.context;
     const service = this.ownService;
-    const hasLeft = backendManager().phase !== "ready" && grants.ownCount > 0;
-    return service !== undefined && this.takers(service).length > 0 &&
-      (grants.isReleasing || hasLeft);
+    const isUnreadyOwner = backendManager().phase !== "ready" &&
+      grants.ownCount > 0;
+    return service !== undefined && this.candidatesFor(service).length > 0 &&
+      (grants.isReleasing || isUnreadyOwner);
   }
 
-  /** Takes ranges that the backend server has given back, with their proofs. */
+  /** Handles ranges that the backend server has released, with the proofs of their handover. */
   handleFreed(freed: readonly FreedRange[]): void {
-    this.handovers.push(...freed);
-    this.publishReleases();
+    this.freedRanges.push(...freed);
+    this.writeReleases();
   }
 
-  /** Does what is due. */
+  /** Runs the due steps; called by the control loop. */
   tick(): void {
     this.leaseManager.tick();
-    this.planReleases();
-    this.publishReleases();
+    this.beginDueReleases();
+    this.writeReleases();
     this.releaseForeign();
     this.rebalancer.tick();
     this.leader.tick();
   }
 
-  /** Takes what the daemon that reads for all owners has found. */
+  /** Handles a response of the shared reader. */
   onSharedRead(answer: SharedReadResponse): void {
     this.leaseManager.onSharedRead(answer);
   }
 
-  /** Whether an owner is promised not to be taken over by this daemon for a while. */
+  /** Whether this daemon may promise an owner not to take over its keys for a while. */
   mayPromise(service: string, question: PromiseQuestion): boolean {
     return this.leader.mayPromise(service, question);
   }
 
   /** Whether this daemon reads the store for all owners. */
   get isSharedReader(): boolean {
-    return this.leader.findReader() === this.own;
+    return this.leader.findReader() === this.ownAddress;
   }
 
-  /** Work that the own keys bring for each slot. */
+  /** Load of the own keys per slot. */
   get utilization(): number {
     return this.rebalancer.utilization;
   }
 
-  /** Whether keys wait to be moved away with the next answer to a heartbeat. */
+  /** Whether planned moves of keys await the next response to a heartbeat. */
   get hasPlannedMoves(): boolean {
     return this.rebalancer.hasPlannedMoves;
   }
 
-  /** Begins the planned moves, in the answer to a heartbeat. */
+  /** Begins the planned moves; called before a heartbeat is responded to. */
   beginMoves(): Promise<void> {
     return this.rebalancer.beginMoves();
   }
 
-  private get own(): string {
+  private get ownAddress(): string {
     return this.context.view.ownReport.address;
   }
 
@@ -211,14 +213,14 @@
       : undefined;
   }
 
-  private noteRecord(service: string, record: OwnershipRecord): void {
+  private applyRecord(service: string, record: OwnershipRecord): void {
     this.leader.onRecord(service, record);
-    if (service === this.ownService && this.registration > 0) {
+    if (service === this.ownService && this.registrationRevision > 0) {
       const { grants, handoverCoordinator, backend } = this.context;
       const before = grants.ownCount;
       grants.noteOwnership(record, {
-        daemon: this.own,
-        revision: Math.max(record.revision, this.registration),
+        daemon: this.ownAddress,
+        revision: Math.max(record.revision, this.registrationRevision),
       });
       if (grants.ownCount > before) {
         handoverCoordinator.takeArrived((key) => grants.isOwn(key)).forEach((
@@ -228,16 +230,19 @@
     }
   }
 
-  /** The own service may have become known after its record was. */
-  private ensureTokens(service: string): void {
+  /** Applies the known record again, since the own service may have become known only after its record. */
+  private reapplyRecord(service: string): void {
     const record = this.context.directory.record(service);
     if (record !== undefined) {
-      this.noteRecord(service, record);
+      this.applyRecord(service, record);
     }
   }
 
-  /** Others took this daemon for lost. It keeps its keys only if others can reach it. */
-  private answerSeal(service: string): void {
+  /**
+   * Handles a seal: others consider this daemon lost. It has the seal removed, unless it sees fewer than half of the
+   * known daemons alive and is probably unreachable itself; then it releases its keys.
+   */
+  private handleSeal(service: string): void {
     const { view, grants } = this.context;
     const known = view.known.length;
     const alive = view.alive(steadyMs()).length;
@@ -249,37 +254,41 @@
       service,
       "unseal",
       (record) =>
-        record.isSealed(this.own) ? record.unseal(this.own) : undefined,
+        record.isSealed(this.ownAddress)
+          ? record.unseal(this.ownAddress)
+          : undefined,
     );
   }
 
-  /** A backend server that leaves, is gone or can't be granted any more gives up its keys. */
-  private planReleases(): void {
+  /** Begins the release of keys of a backend server that drains, has ended or can't be granted keys any more. */
+  private beginDueReleases(): void {
     const { grants, backendManager } = this.context;
     const service = this.ownService;
     if (service === undefined || grants.ownCount === 0) {
       return;
     }
     const { phase, handOverUntilMs } = backendManager();
-    if (this.takers(service).length === 0 || !this.leaseManager.isMovable()) {
+    if (
+      this.candidatesFor(service).length === 0 || !this.leaseManager.isMovable()
+    ) {
       return;
     }
-    // One that has left without a heartbeat holds its keys until its grant runs out, and serves them while
-    // it may be handed requests.
-    const hasLeft = (phase === "draining" || phase === "evacuated") &&
+    // A backend server that drains without a heartbeat holds its keys until its grant expires, and serves them while
+    // requests may still be dispatched to it.
+    const hasDrained = (phase === "draining" || phase === "evacuated") &&
       (steadyMs() > handOverUntilMs || grants.heldForMs(bootMs()) === 0);
-    if (hasLeft || phase === "absent") {
+    if (hasDrained || phase === "absent") {
       grants.beginRelease(grants.ownRanges);
       return;
     }
-    if (backendManager().sinceLastHeartbeatMs() > HEARTBEATS_MISSED_MS) {
-      // Its heartbeats don't arrive; once what it holds has run out, it can't serve its keys any more.
+    if (backendManager().sinceLastHeartbeatMs() > HEARTBEAT_TIMEOUT_MS) {
+      // No heartbeats arrive: once its grants have expired, the backend server can't serve their keys any more.
       grants.beginRelease(grants.findLapsed(bootMs()));
     }
   }
 
-  /** Writes into the store what the backend server has certainly given up. */
-  private publishReleases(): void {
+  /** Writes to the store the ranges that the backend server has certainly released. */
+  private writeReleases(): void {
     const { grants } = this.context;
     const service = this.ownService;
     if (service === undefined || !grants.isReleasing) {
@@ -289,7 +298,7 @@
       return;
     }
     void this.writer.write(service, "release", (record) => {
-      const released = this.releasedIn(record);
+      const released = this.findReleasedIn(record);
       return released.length === 0
         ? undefined
         : this.reassign(service, record, released);
@@ -297,38 +306,39 @@
   }
 
   /**
-   * Gives up keys of a service to which the backend server at this address no longer belongs. The server
-   * that held them has ended, or another could not be at its address.
+   * Releases keys of a service to which the backend server at this address no longer belongs. The server that held
+   * them has ended, or another could not be at its address.
    */
   private releaseForeign(): void {
     const { directory, backendManager } = this.context;
     const { service, phase } = backendManager();
     if (
-      service === undefined || phase === "absent" || this.registration === 0
+      service === undefined || phase === "absent" ||
+      this.registrationRevision === 0
     ) {
       return;
     }
     directory.keyedServices
       .filter((other) => other !== service)
       .filter((other) =>
-        (directory.record(other)?.rangesOf(this.own).length ?? 0) > 0
+        (directory.record(other)?.rangesOf(this.ownAddress).length ?? 0) > 0
       )
       .forEach((other) =>
         void this.writer.write(other, "release_foreign", (record) => {
-          const mine = record.rangesOf(this.own);
-          const free = record.release(mine);
-          return mine.length === 0
-            ? undefined
-            : free.assign(assignUnowned(free, mine, this.takers(other)));
+          const ownRanges = record.rangesOf(this.ownAddress);
+          const released = record.release(ownRanges);
+          return ownRanges.length === 0 ? undefined : released.assign(
+            assignUnowned(released, ownRanges, this.candidatesFor(other)),
+          );
         })
       );
   }
 
-  /** Ranges that the record gives this daemon and that its backend server has given up. */
-  private releasedIn(record: OwnershipRecord): KeyRange[] {
-    const mine = record.rangesOf(this.own);
+  /** Ranges that this daemon owns by the record and that its backend server has released. */
+  private findReleasedIn(record: OwnershipRecord): KeyRange[] {
+    const ownRanges = record.rangesOf(this.ownAddress);
     return this.context.grants.findReleased(bootMs()).flatMap((range) =>
-      mine.flatMap((segment) => intersect(segment, range) ?? [])
+      ownRanges.flatMap((segment) => intersect(segment, range) ?? [])
     );
   }
 
@@ -337,35 +347,35 @@
     record: OwnershipRecord,
     released: readonly KeyRange[],
   ): OwnershipRecord {
-    const takers = this.takers(service);
+    const candidates = this.candidatesFor(service);
     const planned = released.flatMap((range) =>
       this.rebalancer.destinations.flatMap((destination) => {
         const shared = intersect(destination, range);
-        const isThere = takers.some(({ daemon }) =>
+        const isAvailable = candidates.some(({ daemon }) =>
           daemon === destination.daemon
         );
-        return shared === undefined || !isThere
+        return shared === undefined || !isAvailable
           ? []
           : [{ ...shared, daemon: destination.daemon, handover: "" }];
       })
     );
     const freed = record.release(released);
     const withPlanned = freed.assign(planned);
-    const left = released.flatMap((range) =>
+    const unassigned = released.flatMap((range) =>
       withPlanned.findUnowned().flatMap((gap) => intersect(gap, range) ?? [])
     );
-    const rest = assignUnowned(withPlanned, left, takers);
-    const proven = [...planned, ...rest].flatMap((assignment) =>
-      this.withProofs(assignment)
+    const rest = assignUnowned(withPlanned, unassigned, candidates);
+    const assignments = [...planned, ...rest].flatMap((assignment) =>
+      this.withHandoverProofs(assignment)
     );
-    return freed.assign(proven);
+    return freed.assign(assignments);
   }
 
-  /** Splits an assignment so that each part carries the proof of its handover, if there is one. */
-  private withProofs<A extends KeyRange & { handover: string }>(
+  /** Adds to an assignment its parts that were handed over, each with the proof of its handover. */
+  private withHandoverProofs<A extends KeyRange & { handover: string }>(
     assignment: A,
   ): A[] {
-    const proofs = this.handovers.flatMap((freed) => {
+    const proofs = this.freedRanges.flatMap((freed) => {
       const shared = intersect(freed, assignment);
       return shared === undefined
         ? []
@@ -374,8 +384,8 @@
     return [assignment, ...proofs];
   }
 
-  /** Other backend servers of a service that take keys. */
-  private takers(service: string): Candidate[] {
+  /** The other backend servers of a service that may own keys. */
+  private candidatesFor(service: string): Candidate[] {
     return findCandidates(this.context.view, service);
   }
 }
--- a/packages/router/src/record_inspector.ts
+++ b/packages/router/src/record_inspector.ts
@@ -1,5 +1,5 @@
 /**
- * Looks at what reads of the store have found in place of the records of ownership.
+ * Checks what the store holds under the keys of the ownership records.
  *
  * @module
  */
@@ -9,74 +9,75 @@
 import { bootMs } from "./clock.ts";
 import type { OwnershipDirectory } from "./ownership_directory.ts";
 
-/** What the inspector needs. */
+/** Dependencies of the record inspector. */
 export interface RecordInspectorContext {
   readonly logger: Logger;
   readonly directory: OwnershipDirectory;
-  /** The era of the store as far as its answers have told. */
+  /** The newest era of the store that its responses have shown. */
   readonly era: () => number;
 }
 
 /** What the store holds under a record's key. */
 type Stored = Pick<StoredRecord, "value" | "revision"> | undefined;
 
-/** A record of a former era that is to be replaced. */
-export interface FormerRecord {
-  /** The store's revision of what is there; 0 where there is none. */
+/** A record of an earlier era that is to be replaced. */
+export interface EarlierRecord {
+  /** The store's revision of the stored value; 0 if there is none. */
   readonly revision: number;
-  /** What is there; `undefined` where it can't be read. */
+  /** The stored record; `undefined` if it is missing or can't be decoded. */
   readonly record: OwnershipRecord | undefined;
 }
 
-/** What is known of one service's record in the store. */
-interface Watched {
+/** What is known about one service's record in the store. */
+interface RecordState {
   readonly repair: RepairWait;
   readonly restore: RestoreWait;
-  former: OwnershipRecord | undefined;
+  earlier: OwnershipRecord | undefined;
 }
 
 /**
- * Tells records from what another writer has left in their place, or what a store that went back has, and for how long
- * that has been there.
+ * Distinguishes valid records from corrupt or missing ones and from those of an earlier era, which a store that was
+ * rolled back holds, and tracks for how long these have been there.
  *
- * What goes wrong without it: nobody confirms a tenure by a record that can't be read, and nobody can write one, since
- * writes expect the last one that was read. No key of the service would be served again until somebody deletes it. A
- * record of a former era names owners that may have been replaced since: by it two servers would hold the same keys.
+ * Without it, a record that can't be read would stop its service: it confirms no lease, and no write can replace it,
+ * since writes expect the revision that was last read. No key of the service would be served again until somebody
+ * deletes the record. A record of an earlier era names owners that may have been replaced since; if it were used, two
+ * servers could hold the same keys.
  */
 export class RecordInspector {
-  private readonly watched = new Map<string, Watched>();
+  private readonly states = new Map<string, RecordState>();
 
   private constructor(private readonly context: RecordInspectorContext) {}
 
-  /** Creates one that has looked at nothing. */
+  /** Creates an inspector that has checked nothing yet. */
   static create(context: RecordInspectorContext): RecordInspector {
     return new RecordInspector(context);
   }
 
   /**
-   * Looks at what a read has found.
+   * Checks the result of a read.
    *
-   * @returns the record; `undefined` where there is none in force, although there was one.
+   * @returns the record; `undefined` if none is in force, although there was one.
    */
   inspect(service: string, stored: Stored): OwnershipRecord | undefined {
     const { directory, era } = this.context;
     const known = directory.record(service);
-    const watched = this.watch(service);
-    const found = readRecord(stored, known);
-    const isFormer = found === undefined
+    const state = this.stateOf(service);
+    const found = decodeStored(stored, known);
+    const isOfEarlierEra = found === undefined
       ? known !== undefined && known.era < era()
       : found.revision > 0 && found.era !== era();
-    if (isFormer) {
-      this.noteFormer(service, { stored, found });
+    if (isOfEarlierEra) {
+      this.recordEarlierEra(service, { stored, found });
       return undefined;
     }
     if (found !== undefined) {
-      watched.repair.noteReadable();
-      watched.restore.noteCurrent(found, bootMs());
+      state.repair.noteReadable();
+      state.restore.noteCurrent(found, bootMs());
       return found;
     }
-    // Told once for each revision: owners look at it every second or two.
-    if (watched.repair.noteSpoiled(stored?.revision ?? 0, bootMs())) {
+    // Logged once per revision, since owners read the record every second or two.
+    if (state.repair.noteSpoiled(stored?.revision ?? 0, bootMs())) {
       this.context.logger.log("ownership_unreadable", {
         service,
         known_revision: known?.revision,
@@ -86,48 +87,48 @@
     return undefined;
   }
 
-  /** Notes a record that is in force. */
+  /** Marks the stored record as readable and current, after a record in force was written. */
   onRecordInForce(service: string, record: OwnershipRecord): void {
     if (record.era === this.context.era()) {
-      const { repair, restore } = this.watch(service);
+      const { repair, restore } = this.stateOf(service);
       repair.noteReadable();
       restore.noteCurrent(record, bootMs());
     }
   }
 
-  /** Whether no record was in force when the store was last looked at, although there was one. */
+  /** Whether the last read found no record in force, although there was one. */
   lacksRecordInForce(service: string): boolean {
-    const { repair, restore } = this.watch(service);
+    const { repair, restore } = this.stateOf(service);
     return repair.isSpoiled || restore.isFormer;
   }
 
-  /** The revision of a spoiled record that may be replaced now, if there is one. */
+  /** The revision of a corrupt record that may be replaced now, if there is one. */
   findRepairableRevision(service: string): number | undefined {
-    return this.watch(service).repair.findDue(bootMs());
+    return this.stateOf(service).repair.findDue(bootMs());
   }
 
-  /** The record of a former era that may be replaced now, if there is one. */
-  findRestorableRecord(service: string): FormerRecord | undefined {
-    const { restore, former: record } = this.watch(service);
+  /** The record of an earlier era that may be replaced now, if there is one. */
+  findRestorableRecord(service: string): EarlierRecord | undefined {
+    const { restore, earlier: record } = this.stateOf(service);
     const revision = restore.findDue(bootMs());
     return revision === undefined ? undefined : { revision, record };
   }
 
-  /** Whether a record that was put back may be settled now. */
+  /** Whether a restored record may be marked as settled now. */
   canSettle(service: string): boolean {
-    return this.watch(service).restore.isSettled(bootMs());
+    return this.stateOf(service).restore.isSettled(bootMs());
   }
 
-  private noteFormer(
+  private recordEarlierEra(
     service: string,
     read: { stored: Stored; found: OwnershipRecord | undefined },
   ): void {
     const { logger, directory, era } = this.context;
-    const watched = this.watch(service);
+    const state = this.stateOf(service);
     const revision = read.stored?.revision ?? 0;
-    watched.repair.noteReadable();
-    watched.former = read.found;
-    if (watched.restore.noteFormer(revision, bootMs())) {
+    state.repair.noteReadable();
+    state.earlier = read.found;
+    if (state.restore.noteFormer(revision, bootMs())) {
       logger.log("ownership_of_former_era", {
         service,
         revision,
@@ -138,28 +139,28 @@
     }
   }
 
-  private watch(service: string): Watched {
-    const known = this.watched.get(service);
+  private stateOf(service: string): RecordState {
+    const known = this.states.get(service);
     if (known !== undefined) {
       return known;
     }
-    const watched = {
+    const state = {
       repair: RepairWait.create(),
       restore: RestoreWait.create(),
-      former: undefined,
+      earlier: undefined,
     };
-    this.watched.set(service, watched);
-    return watched;
+    this.states.set(service, state);
+    return state;
   }
 }
 
-function readRecord(
+function decodeStored(
   stored: Stored,
   known: OwnershipRecord | undefined,
 ): OwnershipRecord | undefined {
   if (stored === undefined) {
-    const hasVanished = (known?.revision ?? 0) > 0;
-    return hasVanished ? undefined : OwnershipRecord.create();
+    const wasDeleted = (known?.revision ?? 0) > 0;
+    return wasDeleted ? undefined : OwnershipRecord.create();
   }
   return known?.revision === stored.revision
     ? known
--- a/packages/router/src/record_writer.ts
+++ b/packages/router/src/record_writer.ts
@@ -1,5 +1,5 @@
 /**
- * Changes the records of ownership in the store.
+ * Writes changes of the ownership records to the store.
  *
  * @module
  */
@@ -14,71 +14,73 @@
   OWNERSHIP_PREFIX,
   type OwnershipDirectory,
 } from "./ownership_directory.ts";
-import type { FormerRecord, RecordInspector } from "./record_inspector.ts";
+import type { EarlierRecord, RecordInspector } from "./record_inspector.ts";
 
 /**
- * Pause after a write that failed for another reason than another writer, in milliseconds: while the store
- * is down, each tick of every daemon would ask all others to write for it.
+ * Pause after a write that failed for another reason than a conflicting write, in milliseconds. Without it, every
+ * daemon would request a relayed write from the others in each tick while the store is down.
  */
 const WRITE_PAUSE_MS = 250;
-/** Tries of one change of a record, against other writers. */
-const WRITE_ATTEMPTS = 4;
+/** Maximum number of attempts to write one change of a record against conflicting writes. */
+const MAX_WRITE_ATTEMPTS = 4;
 
-/** What the writer needs. */
+/** Dependencies of the record writer. */
 export interface RecordWriterContext {
   readonly store: Store;
   readonly logger: Logger;
   readonly directory: OwnershipDirectory;
   readonly random: () => number;
   readonly inspector: RecordInspector;
-  /** Tells all daemons of a newer record. */
+  /** Announces a newer record to all daemons. */
   readonly onWritten: (service: string, record: OwnershipRecord) => void;
 }
 
-/** Changes a record; `undefined` if there is nothing to change any more. */
+/** Returns the changed record; `undefined` if there is nothing left to change. */
 export type RecordChange = (
   record: OwnershipRecord,
 ) => OwnershipRecord | undefined;
 
-/** Writes the changes of one daemon, one at a time for each service. */
+/** Writes the changes of one daemon, one at a time per service. */
 export class RecordWriter {
-  private readonly busy = new Set<string>();
-  private readonly pausedUntilMs = new Map<string, number>();
-  private readonly turns: WriteTurns;
+  private readonly servicesInFlight = new Set<string>();
+  private readonly pauseEndsAtMs = new Map<string, number>();
+  private readonly conflictBackoff: WriteTurns;
 
   private constructor(private readonly context: RecordWriterContext) {
-    this.turns = WriteTurns.create(context.random);
+    this.conflictBackoff = WriteTurns.create(context.random);
   }
 
-  /** Creates a writer. */
   static create(context: RecordWriterContext): RecordWriter {
     return new RecordWriter(context);
   }
 
   /**
-   * Changes a record by compare-and-swap. A change that comes while another is under way is left out: it is
-   * planned anew at the next tick.
+   * Changes a record by compare-and-swap. A change requested while another write is in flight is dropped; the next tick
+   * plans it again.
    *
-   * Where the outcome stays unknown nothing is assumed: the ranges concerned stay given up here, and
-   * the next tick reads the record and decides anew.
+   * If the outcome is unknown, nothing is assumed: the affected ranges stay released here, and the next tick reads the
+   * record and decides again.
    */
   async write(
     service: string,
     purpose: string,
     change: RecordChange,
   ): Promise<void> {
-    await this.alone(service, () => this.tryWrite(service, purpose, change));
+    await this.runExclusively(
+      service,
+      () => this.tryWrite(service, purpose, change),
+    );
   }
 
   /**
-   * Replaces a record that can't be read, or was taken away, by the last one that is known; by one without owners
-   * where none is. Nobody else may have changed it since it may be replaced, so the write expects its revision.
+   * Replaces a record that can't be read, or that was deleted, with the last known one, or with one without owners if
+   * none is known. The write expects the revision of the corrupt record, so it fails if somebody has changed it since.
    */
   async repair(service: string, spoiledRevision: number): Promise<void> {
     const known = this.context.directory.record(service) ??
       OwnershipRecord.create();
-    await this.alone(service, async () => {
-      const error = await this.put(service, {
+    await this.runExclusively(service, async () => {
+      const error = await this.writeRecord(service, {
         purpose: "repair",
         record: known,
         expectedRevision: spoiledRevision,
@@ -92,56 +94,56 @@
         return;
       }
       this.pause(service);
-      await this.reread(service);
+      await this.readAgain(service);
     });
   }
 
   /**
-   * Puts a record back in the place of one of a former era, after the store has gone back: the newest that is known, or
-   * what the store has where none is.
+   * Replaces a record of an earlier era, after the store was rolled back, with the newest known record, or with the
+   * stored one if none is known.
    */
-  async restore(service: string, former: FormerRecord): Promise<void> {
-    const known = this.context.directory.record(service) ?? former.record ??
+  async restore(service: string, earlier: EarlierRecord): Promise<void> {
+    const known = this.context.directory.record(service) ?? earlier.record ??
       OwnershipRecord.create();
-    await this.alone(service, async () => {
-      const error = await this.put(service, {
+    await this.runExclusively(service, async () => {
+      const error = await this.writeRecord(service, {
         purpose: "restore",
         record: known.restoredIn(this.context.store.era),
-        expectedRevision: former.revision,
+        expectedRevision: earlier.revision,
       });
       if (error === undefined) {
         this.context.logger.log("ownership_restored", {
           service,
           era: this.context.store.era,
           known_revision: known.revision,
-          former_revision: former.revision,
+          former_revision: earlier.revision,
         });
         return;
       }
       this.pause(service);
-      await this.reread(service);
+      await this.readAgain(service);
     });
   }
 
-  /** Does something with a record unless something else is under way, or has just failed. */
-  private async alone(
+  /** Runs an operation on a record, unless another one is in flight or has just failed. */
+  private async runExclusively(
     service: string,
-    act: () => Promise<void>,
+    operation: () => Promise<void>,
   ): Promise<void> {
-    const isPaused = steadyMs() < (this.pausedUntilMs.get(service) ?? 0);
-    if (this.busy.has(service) || isPaused) {
+    const isPaused = steadyMs() < (this.pauseEndsAtMs.get(service) ?? 0);
+    if (this.servicesInFlight.has(service) || isPaused) {
       return;
     }
-    this.busy.add(service);
+    this.servicesInFlight.add(service);
     try {
-      await act();
+      await operation();
     } finally {
-      this.busy.delete(service);
+      this.servicesInFlight.delete(service);
     }
   }
 
   private pause(service: string): void {
-    this.pausedUntilMs.set(service, steadyMs() + WRITE_PAUSE_MS);
+    this.pauseEndsAtMs.set(service, steadyMs() + WRITE_PAUSE_MS);
   }
 
   private async tryWrite(
@@ -150,36 +152,36 @@
     change: RecordChange,
   ): Promise<void> {
     const { directory } = this.context;
-    for (let attempt = 0; attempt < WRITE_ATTEMPTS; attempt += 1) {
+    for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt += 1) {
       const known = directory.record(service) ?? OwnershipRecord.create();
       const record = change(known);
       if (record === undefined) {
         return;
       }
-      const error = await this.put(service, {
+      const error = await this.writeRecord(service, {
         purpose,
         record,
         expectedRevision: known.revision,
       });
       if (error === undefined) {
-        this.turns.noteWon();
+        this.conflictBackoff.noteWon();
         return;
       }
       if (error.code !== "conflict") {
         this.pause(service);
         return;
       }
-      await this.learnOther(service, known.revision);
+      await this.awaitConflictingWrite(service, known.revision);
       if (this.context.inspector.lacksRecordInForce(service)) {
-        // No write succeeds until the record is replaced.
+        // No write can succeed until the record is replaced.
         this.pause(service);
         return;
       }
     }
   }
 
-  /** Writes a record; returns why that failed, if it did. */
-  private async put(
+  /** Writes a record; returns the error if that failed. */
+  private async writeRecord(
     service: string,
     write: {
       purpose: string;
@@ -190,38 +192,46 @@
     const { store, directory, inspector, logger, onWritten } = this.context;
     const { purpose, expectedRevision } = write;
     const record = write.record.writtenIn(store.era);
-    const told = { service, purpose, from_revision: expectedRevision };
+    const logFields = { service, purpose, from_revision: expectedRevision };
     const written = await writeSettled(store, {
       key: OWNERSHIP_PREFIX + service,
       value: record.encode(),
       expectedRevision,
     });
-    // What was written while the store went back counts for a record of before.
+    // A record that was written while the store was rolled back belongs to the earlier era.
     const settled = written.andThen((revision) =>
-      record.era === store.era ? ok(revision) : err(wentBack())
+      record.era === store.era ? ok(revision) : err(rollbackError())
     );
     if (settled.isErr()) {
-      logger.log("ownership_write_failed", { ...told, cause: settled.error });
+      logger.log("ownership_write_failed", {
+        ...logFields,
+        cause: settled.error,
+      });
       return settled.error;
     }
     const { value: revision } = settled;
-    logger.log("ownership_written", { ...told, revision });
-    const inForce = record.withRevision(revision);
-    inspector.onRecordInForce(service, inForce);
-    directory.updateRecord(service, inForce);
-    onWritten(service, inForce);
+    logger.log("ownership_written", { ...logFields, revision });
+    const currentRecord = record.withRevision(revision);
+    inspector.onRecordInForce(service, currentRecord);
+    directory.updateRecord(service, currentRecord);
+    onWritten(service, currentRecord);
     return undefined;
   }
 
-  /** Waits for the news of the write that came before the own one, and reads the store if none comes. */
-  private async learnOther(service: string, before: number): Promise<void> {
-    await sleep(this.turns.noteLost(), undefined, { ref: false });
-    if ((this.context.directory.record(service)?.revision ?? 0) <= before) {
-      await this.reread(service);
+  /** Waits for the announcement of the conflicting write, and reads the store if none arrives. */
+  private async awaitConflictingWrite(
+    service: string,
+    staleRevision: number,
+  ): Promise<void> {
+    await sleep(this.conflictBackoff.noteLost(), undefined, { ref: false });
+    if (
+      (this.context.directory.record(service)?.revision ?? 0) <= staleRevision
+    ) {
+      await this.readAgain(service);
     }
   }
 
-  private async reread(service: string): Promise<void> {
+  private async readAgain(service: string): Promise<void> {
     const { store, directory, inspector } = this.context;
     const found = await store.get(OWNERSHIP_PREFIX + service);
     if (found.isErr()) {
@@ -234,8 +244,12 @@
   }
 }
 
-function wentBack(): BamboolinkError {
-  return BamboolinkError.create("conflict", "the store went back", {
-    step: "record_writer.put",
-  });
+function rollbackError(): BamboolinkError {
+  return BamboolinkError.create(
+    "conflict",
+    "the store was rolled back during the write",
+    {
+      step: "record_writer.put",
+    },
+  );
 }
--- a/packages/router/src/record_writer_test.ts
+++ b/packages/router/src/record_writer_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of writes that lose the race for a record.
+ * Tests of writes that conflict with the write of another daemon.
  *
  * @module
  */
@@ -17,33 +17,39 @@
 const KNOWN = OwnershipRecord.create()
   .assign([{ from: 0, to: 99, daemon: "own", handover: "" }])
   .withRevision(7);
-/** What another daemon has written in the meantime. */
-const OTHER = KNOWN
+/** The record that another daemon has written meanwhile. */
+const CONFLICTING = KNOWN
   .assign([{ from: 50, to: 99, daemon: "other", handover: "" }])
   .withRevision(8);
 
-/** A store that holds what another daemon has written, and counts calls. */
-class ContestedStore {
+/** A store that holds the other daemon's record and counts calls. */
+class ConflictingStore {
   reads = 0;
   readonly writes: number[] = [];
 
   get() {
     this.reads += 1;
     const key = OWNERSHIP_PREFIX + SERVICE;
-    return okAsync({ key, value: OTHER.encode(), revision: OTHER.revision });
+    return okAsync({
+      key,
+      value: CONFLICTING.encode(),
+      revision: CONFLICTING.revision,
+    });
   }
 
   compareAndSwap({ expectedRevision }: CasRequest) {
     this.writes.push(expectedRevision);
-    return expectedRevision === OTHER.revision
-      ? okAsync(OTHER.revision + 1)
+    return expectedRevision === CONFLICTING.revision
+      ? okAsync(CONFLICTING.revision + 1)
       : errAsync(BamboolinkError.create("conflict", "changed", { step: "" }));
   }
 }
 
-/** Loses a race; `onLost` is what happens before the writer tries again. */
-async function loseRace(onLost: (directory: OwnershipDirectory) => void) {
-  const store = new ContestedStore();
+/** Writes against a conflicting write; `onConflict` runs before the writer retries. */
+async function writeAgainstConflict(
+  onConflict: (directory: OwnershipDirectory) => void,
+) {
+  const store = new ConflictingStore();
   const logger = Logger.createBounded("test", { level: "error" });
   const directory = OwnershipDirectory.create(logger);
   directory.updateRecord(SERVICE, KNOWN);
@@ -60,19 +66,18 @@
     "release",
     (record) => record.release([{ from: 0, to: 9 }]),
   );
-  onLost(directory);
+  onConflict(directory);
   await writing;
   return { store, record: directory.record(SERVICE)! };
 }
 
 describe("record writer", () => {
-  // Symptom: a hundred owners give keys up within a second, and the store is asked for the record after each of 250
-  // lost races.
-  // Sequence: an owner loses to another; the news of the other's write arrives some milliseconds later.
-  // Cause: the record was read at once, which those who had lost to the same write did at the same moment.
-  it("builds on the news of the write that came before its own", async () => {
-    const { store, record } = await loseRace((directory) =>
-      directory.updateRecord(SERVICE, OTHER)
+  // Guards against a burst of reads when a hundred owners release keys within a second: after each of 250 conflicts the
+  // record was read at once, by all daemons whose writes had failed against the same write, although its announcement
+  // arrives some milliseconds later.
+  it("retries on top of the announced record of the conflicting write", async () => {
+    const { store, record } = await writeAgainstConflict((directory) =>
+      directory.updateRecord(SERVICE, CONFLICTING)
     );
     expect(store.reads).to.equal(0);
     expect(store.writes).to.deep.equal([7, 8]);
@@ -80,8 +85,8 @@
     expect(record.ownerOf(60)?.daemon).to.equal("other");
   });
 
-  it("reads the record where no news comes", async () => {
-    const { store, record } = await loseRace(() => undefined);
+  it("reads the record if the conflicting write is not announced", async () => {
+    const { store, record } = await writeAgainstConflict(() => undefined);
     expect(store.reads).to.equal(1);
     expect(store.writes).to.deep.equal([7, 8]);
     expect(record.ownerOf(60)?.daemon).to.equal("other");
