--- a/packages/router/src/backend_manager.ts
+++ b/packages/router/src/backend_manager.ts
@@ -6,12 +6,12 @@
  */
 import {
   type Grant,
-  type GrantBook,
+  type GrantTracker,
   type Incarnation,
-  InstanceBook,
-  type Presence,
+  IncarnationTracker,
+  type OwnershipLease,
+  type ProbeResult,
   type Succession,
-  type Tenure,
 } from "@bamboolink/keyspace";
 import type { Logger } from "@bamboolink/logger";
 import type { MemberPhase } from "@bamboolink/membership";
@@ -56,14 +56,14 @@
 export interface BackendManagerContext {
   readonly logger: Logger;
   readonly backend: LocalBackend;
-  readonly grants: GrantBook;
-  readonly lease: Tenure;
+  readonly grants: GrantTracker;
+  readonly lease: OwnershipLease;
   /** What operators say of the own availability zone. */
   readonly evacuation: EvacuationState;
   /** From the word that the backend server leaves until it may get nothing more, in milliseconds. */
   readonly drainMs: () => number;
   /** Asks at the address of a backend server of a service who is there. */
-  readonly probe: (service: string) => Promise<Presence>;
+  readonly probe: (service: string) => Promise<ProbeResult>;
   readonly isKeyed: (service: string) => boolean;
   /** Whether the configuration in force names a service; `undefined` while none is in force. */
   readonly isConfigured: (service: string) => boolean | undefined;
@@ -106,7 +106,7 @@
 
 /** The state of the backend server on this host. */
 export class BackendManager {
-  private readonly instances = InstanceBook.create();
+  private readonly instances = IncarnationTracker.create();
   private last: BackendHeartbeat | undefined;
   private current: MemberPhase = "absent";
   private drainingSinceMs = Infinity;
@@ -139,7 +139,7 @@
 
   /** For how long the backend server has said nothing, in milliseconds. */
   sinceLastHeartbeatMs(): number {
-    return bootMs() - this.instances.lastHeardMs;
+    return bootMs() - this.instances.lastHeartbeatMs;
   }
 
   /** Until when requests may be handed over to a backend server that leaves, on the steady clock. */
@@ -182,7 +182,7 @@
     }
     const isHeldBack = this.isHeldBack(heartbeat) &&
       !await this.context.beforeDrain() &&
-      this.context.grants.heldForMs(bootMs()) > LEAST_HOLD_MS;
+      this.context.grants.remainingHoldMs(bootMs()) > LEAST_HOLD_MS;
     if (isHeldBack) {
       this.context.logger.log("leaving_not_acknowledged", {
         instance: heartbeat.instance,
@@ -205,19 +205,19 @@
   private isHeldBack(heartbeat: BackendHeartbeat): boolean {
     return heartbeat.isDraining && this.current === "ready" &&
       this.instances.isCurrent(heartbeat) &&
-      this.context.grants.ownCount > 0;
+      this.context.grants.ownKeyCount > 0;
   }
 
   private hasKeysToEvacuate(heartbeat: BackendHeartbeat): boolean {
     return this.current === "evacuated" &&
       this.instances.isCurrent(heartbeat) &&
-      this.context.grants.ownCount > 0;
+      this.context.grants.ownKeyCount > 0;
   }
 
   private async takeGrant(
     heartbeat: BackendHeartbeat,
   ): Promise<Grant | undefined> {
-    const verdict = this.instances.judge(heartbeat);
+    const verdict = this.instances.classify(heartbeat);
     if (verdict.kind === "late") {
       return undefined;
     }
@@ -269,7 +269,7 @@
     const found = await this.context.probe(this.last?.service ?? "");
     if (found.kind === "refused") {
       // Nobody listens at the address: the process has ended, and whatever it held with it.
-      this.context.grants.noteEnded();
+      this.context.grants.recordProcessEnd();
       this.setPhase("absent", suspicion);
       const { instance } = this.last ?? {};
       this.context.onProcessEnded({ instance, proof: "refused" });
@@ -299,19 +299,19 @@
     } else {
       const { instance } = this.last ?? {};
       this.context.onProcessEnded({ instance, proof: "replaced" });
-      this.instances.succeed(heartbeat, { succession, nowMs });
+      this.instances.acceptSuccessor(heartbeat, { succession, nowMs });
     }
     if (this.last !== undefined && this.last.service !== heartbeat.service) {
-      grants.forgetKeys();
-      lease.forget();
+      grants.clearKeys();
+      lease.reset();
     }
     this.last = heartbeat;
     this.noteCold(heartbeat);
     const keyed = isKeyed(heartbeat.service);
     if (succession === undefined) {
-      grants.adoptHeld(heartbeat.holds, nowMs);
+      grants.adoptTokens(heartbeat.holds, nowMs);
     } else {
-      grants.noteNewIncarnation(succession === "proved");
+      grants.recordNewIncarnation(succession === "proved");
       this.context.logger.log("backend_replaced", {
         instance: heartbeat.instance,
         born: heartbeat.born,
@@ -320,7 +320,7 @@
       });
     }
     grants.raiseTokens(heartbeat.holds);
-    const freed = grants.noteFreed(heartbeat.freed);
+    const freed = grants.recordFreed(heartbeat.freed);
     if (freed.length > 0) {
       this.context.onFreed(freed);
     }
@@ -338,10 +338,14 @@
     }
     const answeredMs = bootMs();
     // The hold counts from when the heartbeat was sent, which was before it arrived.
-    const spentMs = answeredMs - nowMs;
-    const longestHoldMs = lease.longestHoldMs(nowMs);
-    const grant = grants.answer({ longestHoldMs, nowMs: answeredMs, spentMs });
-    backend.noteGranted();
+    const processingMs = answeredMs - nowMs;
+    const maxHoldMs = lease.maxHoldMs(nowMs);
+    const grant = grants.createGrant({
+      maxHoldMs,
+      nowMs: answeredMs,
+      processingMs,
+    });
+    backend.onKeysGranted();
     return grant.holdMs > 0 ? grant : undefined;
   }
 
@@ -366,7 +370,7 @@
     this.drainingSinceMs = isDraining
       ? Math.min(this.drainingSinceMs, steadyMs())
       : Infinity;
-    backend.identify(
+    backend.updateIdentity(
       last === undefined || phase === "absent" ? undefined : {
         instance: last.instance,
         born: last.born,
@@ -374,7 +378,7 @@
         slots: last.slots,
         phase,
         isKeyed: isKeyed(last.service),
-        handOverUntilMs: this.handOverUntilMs,
+        forwardUntilMs: this.handOverUntilMs,
         coldUntilMs: this.coldUntilMs,
         coldLimit: this.context.coldLimit(last.service),
       },
@@ -401,10 +405,10 @@
       // The known incarnation was heard meanwhile, or another one was found: the sender says the same again.
       return "rejected";
     }
-    return this.instances.judgeSuccession(heartbeat, found, {
+    return this.instances.classifySuccession(heartbeat, found, {
       arrivedMs,
       overdueMs: this.context.heartbeatIntervalMs() * OVERDUE_SHARE,
-      silentMs: SILENT_MS,
+      unresponsiveMs: SILENT_MS,
     });
   }
 }
--- a/packages/router/src/backend_manager_test.ts
+++ b/packages/router/src/backend_manager_test.ts
@@ -5,10 +5,10 @@
  */
 import { expect } from "chai";
 import {
-  GrantBook,
+  GrantTracker,
+  OwnershipLease,
   OwnershipRecord,
-  type Presence,
-  Tenure,
+  type ProbeResult,
 } from "@bamboolink/keyspace";
 import { Logger } from "@bamboolink/logger";
 import {
@@ -38,11 +38,11 @@
 }
 
 function createKeeper(
-  grants: GrantBook,
-  lease: Tenure,
+  grants: GrantTracker,
+  lease: OwnershipLease,
   options: {
     beforeDrain?: () => boolean;
-    probe?: () => Promise<Presence>;
+    probe?: () => Promise<ProbeResult>;
     heartbeatMs?: number;
     evacuation?: EvacuationState;
   } = {},
@@ -65,8 +65,8 @@
         logger,
         random: () => 0,
         nowMs: bootMs,
-        tellAll: () => undefined,
-        tellSome: () => undefined,
+        broadcast: () => undefined,
+        sendToSome: () => undefined,
       }),
       onSuspicion: () => undefined,
     }),
@@ -89,14 +89,14 @@
 }
 
 /** A daemon that owns some keys by the record and may grant them. */
-function createOwner(): { grants: GrantBook; lease: Tenure } {
-  const grants = GrantBook.create(bootMs() - 60_000);
-  const lease = Tenure.create();
+function createOwner(): { grants: GrantTracker; lease: OwnershipLease } {
+  const grants = GrantTracker.create(bootMs() - 60_000);
+  const lease = OwnershipLease.create();
   lease.confirm(bootMs(), { arbiters: [], revision: 1 });
   const record = OwnershipRecord.create()
     .assign([{ ...KEYS, daemon: "own", handover: "" }])
     .withRevision(7);
-  grants.noteOwnership(record, { daemon: "own", revision: 7 });
+  grants.applyRecord(record, { daemon: "own", revision: 7 });
   return { grants, lease };
 }
 
@@ -146,7 +146,7 @@
       const answered = await keeper.handleHeartbeat(leaving);
       expect(answered.kind).to.equal("unacknowledged");
       expect(keeper.phase).to.equal("ready");
-      expect(grants.isOwn(KEYS.from)).to.equal(true);
+      expect(grants.owns(KEYS.from)).to.equal(true);
     });
   });
 
@@ -284,7 +284,7 @@
       expect(answer.kind).to.equal("unacknowledged");
       expect(keeper.service).to.equal("rooms");
       expect(keeper.phase).to.equal("ready");
-      expect(grants.isOwn(KEYS.from)).to.equal(true);
+      expect(grants.owns(KEYS.from)).to.equal(true);
     });
   });
 });
--- a/packages/router/src/key_rebalancer.ts
+++ b/packages/router/src/key_rebalancer.ts
@@ -4,9 +4,9 @@
  * @module
  */
 import {
-  type GrantBook,
+  type GrantTracker,
   type PlannedMove,
-  planShedding,
+  planRebalance,
 } from "@bamboolink/keyspace";
 import type { Logger } from "@bamboolink/logger";
 import type { MemberReport, MemberView } from "@bamboolink/membership";
@@ -25,7 +25,7 @@
   readonly logger: Logger;
   readonly view: MemberView;
   readonly directory: OwnershipDirectory;
-  readonly grants: GrantBook;
+  readonly grants: GrantTracker;
   readonly backend: LocalBackend;
   readonly backendManager: () => BackendManager;
   readonly handoverCoordinator: HandoverCoordinator;
@@ -91,7 +91,7 @@
     };
     const record = this.context.directory.record(service);
     const owners = new Set(record?.daemons ?? []);
-    this.planned = planShedding(own, others, {
+    this.planned = planRebalance(own, others, {
       ranges: grants.ownRanges,
       profile: backend.profile,
       keyless: new Set(
@@ -132,7 +132,7 @@
   /** Standard deviation of the utilization. */
   private get deviation(): number {
     const { backend, backendManager } = this.context;
-    return backend.profile.deviationOf(this.load) /
+    return backend.profile.standardDeviationOf(this.load) /
       Math.max(1, backendManager().slots);
   }
 
--- a/packages/router/src/ownership_leader.ts
+++ b/packages/router/src/ownership_leader.ts
@@ -5,15 +5,15 @@
  * @module
  */
 import {
+  ArbiterState,
   assignUnowned,
   type Candidate,
   chooseArbiters,
   isFirstAssignmentDue,
   KEY_COUNT,
   type OwnershipRecord,
-  PromiseBook,
-  type PromiseQuestion,
-  TakeoverWaits,
+  type PromiseRequest,
+  TakeoverTimers,
 } from "@bamboolink/keyspace";
 import type { MemberView } from "@bamboolink/membership";
 import type { BackendManager } from "./backend_manager.ts";
@@ -38,8 +38,8 @@
 
 /** One daemon's part in assigning keys, as the leader or as an arbiter. */
 export class OwnershipLeader {
-  private readonly waits = new Map<string, TakeoverWaits>();
-  private readonly promises = new Map<string, PromiseBook>();
+  private readonly waits = new Map<string, TakeoverTimers>();
+  private readonly promises = new Map<string, ArbiterState>();
   private readonly startedAtMs = steadyMs();
   private readonly bootedAtMs = bootMs();
   private registrationRevision = Infinity;
@@ -54,23 +54,23 @@
   /** Sets a revision of the store that was written by this process. */
   onRegistered(revision: number): void {
     this.registrationRevision = revision;
-    this.promises.forEach((book) => book.noteStart(revision));
+    this.promises.forEach((book) => book.recordStartRevision(revision));
   }
 
   /** Takes in the seals and appointments of a record; the waits before a takeover count from them. */
   onRecord(service: string, record: OwnershipRecord): void {
-    const waits = this.waits.get(service) ?? TakeoverWaits.create();
+    const waits = this.waits.get(service) ?? TakeoverTimers.create();
     this.waits.set(service, waits);
-    waits.note(record, bootMs());
+    waits.observe(record, bootMs());
     const promises = this.promises.get(service) ??
-      PromiseBook.create(this.bootedAtMs);
+      ArbiterState.create(this.bootedAtMs);
     this.promises.set(service, promises);
-    promises.noteStart(this.registrationRevision);
-    promises.note(record);
+    promises.recordStartRevision(this.registrationRevision);
+    promises.observe(record);
   }
 
   /** Whether this daemon may promise an owner not to take over its keys. */
-  mayPromise(service: string, question: PromiseQuestion): boolean {
+  mayPromise(service: string, question: PromiseRequest): boolean {
     return this.promises.get(service)?.mayPromise(question, bootMs()) === true;
   }
 
@@ -167,7 +167,7 @@
     const available = [
       ...known.findUnowned(),
       ...this.findExpiredSeals(service, known).flatMap((seal) =>
-        known.rangesUnder(seal)
+        known.rangesWithSeal(seal)
       ),
     ];
     if (available.length === 0) {
@@ -192,13 +192,15 @@
   private findExpiredSeals(service: string, known: OwnershipRecord): number[] {
     const nowMs = bootMs();
     const waits = this.waits.get(service);
-    const appointment = known.officeOf(this.ownAddress);
+    const appointment = known.findArbiter(this.ownAddress);
     if (appointment === undefined && !this.isLeading()) {
       return [];
     }
     return known.sealedOwners
       .map(({ seal }) => seal)
-      .filter((seal) => waits?.isOver(seal, nowMs, appointment) === true);
+      .filter((seal) =>
+        waits?.hasLeaseEnded(seal, nowMs, appointment) === true
+      );
   }
 
   /** Appoints live daemons as arbiters, so that the keys of a lost host can be reassigned soon. */
@@ -241,10 +243,12 @@
       .filter((report) => report.service === service);
     const candidates = this.allCandidates(service);
     const isDue = isFirstAssignmentDue({
-      unheard: view.known.length - alive.length,
-      unannounced: members.filter(({ phase }) => phase === "absent").length,
-      takers: candidates.length,
-      waitedMs: nowMs - this.startedAtMs,
+      unseenDaemons: view.known.length - alive.length,
+      unannouncedBackends: members.filter(({ phase }) =>
+        phase === "absent"
+      ).length,
+      candidates: candidates.length,
+      uptimeMs: nowMs - this.startedAtMs,
     });
     if (!isDue) {
       return;
--- a/packages/router/src/ownership_lease_manager.ts
+++ b/packages/router/src/ownership_lease_manager.ts
@@ -6,11 +6,11 @@
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import {
-  CONFIRM_MS,
-  ConfirmTurns,
-  type GrantBook,
+  CONFIRM_INTERVAL_MS,
+  ConfirmationSchedule,
+  type GrantTracker,
+  type OwnershipLease,
   type OwnershipRecord,
-  type Tenure,
 } from "@bamboolink/keyspace";
 import type { Logger } from "@bamboolink/logger";
 import type { Store } from "@bamboolink/store";
@@ -24,14 +24,14 @@
 
 /**
  * Interval between reads of the record while keys are to be released to others as soon as the store is back, in
- * milliseconds; otherwise it is `CONFIRM_MS`.
+ * milliseconds; otherwise it is `CONFIRM_INTERVAL_MS`.
  */
 const RELEASE_CONFIRM_INTERVAL_MS = 400;
 /**
  * Keys are moved only if the record was read within this time, in milliseconds: keys that are released while the store
  * can't be written have no owner until it can.
  */
-const MAX_MOVE_CONFIRMATION_AGE_MS = 2 * CONFIRM_MS;
+const MAX_MOVE_CONFIRMATION_AGE_MS = 2 * CONFIRM_INTERVAL_MS;
 /**
  * Arbiters are asked for promises once the lease has not been confirmed for this long, in milliseconds: by then a read,
  * which is due every 1.5 s and may be delayed by 0.6 s for batching, has failed.
@@ -63,8 +63,8 @@
   readonly logger: Logger;
   readonly directory: OwnershipDirectory;
   readonly inspector: RecordInspector;
-  readonly lease: Tenure;
-  readonly grants: GrantBook;
+  readonly lease: OwnershipLease;
+  readonly grants: GrantTracker;
   readonly random: () => number;
   /** Address of this daemon. */
   readonly ownAddress: () => string;
@@ -92,7 +92,7 @@
 
 /** Renews the ownership lease of the backend server on this host. */
 export class OwnershipLeaseManager {
-  private readonly confirmSchedule: ConfirmTurns;
+  private readonly confirmSchedule: ConfirmationSchedule;
   /** When a read was requested from the shared reader, while its response is awaited. */
   private sharedReadRequestedAtMs: number | undefined;
   private promisesRequestedAtMs = -Infinity;
@@ -100,7 +100,7 @@
   private dependsOnPromises = false;
 
   private constructor(private readonly context: OwnershipLeaseManagerContext) {
-    this.confirmSchedule = ConfirmTurns.create(context.random);
+    this.confirmSchedule = ConfirmationSchedule.create(context.random);
   }
 
   static create(context: OwnershipLeaseManagerContext): OwnershipLeaseManager {
@@ -130,7 +130,7 @@
       return;
     }
     this.sharedReadRequestedAtMs = undefined;
-    this.confirmSchedule.noteShared(bootMs());
+    this.confirmSchedule.recordSharedRead(bootMs());
     if (record.revision < revision) {
       void this.read(service, bootMs());
       return;
@@ -141,7 +141,7 @@
 
   /** Whether a move of keys that begins now can probably be written to the store. */
   isMovable(): boolean {
-    return this.context.lease.confirmedForMs(bootMs()) <
+    return this.context.lease.confirmationAgeMs(bootMs()) <
         MAX_MOVE_CONFIRMATION_AGE_MS &&
       !this.isRestored;
   }
@@ -161,14 +161,14 @@
     const sentAtMs = bootMs();
     if (this.context.findReader() === undefined) {
       // This read also confirms the lease, so the interval to the next one starts now.
-      this.confirmSchedule.noteSent(sentAtMs);
+      this.confirmSchedule.recordSent(sentAtMs);
     }
     const read = this.read(service, sentAtMs);
     await Promise.race([
       read,
       sleep(STORE_READ_TIMEOUT_MS, undefined, { ref: false }),
     ]);
-    return this.context.lease.confirmedForMs(sentAtMs) <= 0 &&
+    return this.context.lease.confirmationAgeMs(sentAtMs) <= 0 &&
       !this.isRestored;
   }
 
@@ -182,7 +182,7 @@
     ) {
       return;
     }
-    this.confirmSchedule.noteSent(nowMs);
+    this.confirmSchedule.recordSent(nowMs);
     const reader = mustRelease ? undefined : this.context.findReader();
     if (reader === undefined) {
       this.readDirectly(service, nowMs);
@@ -242,9 +242,9 @@
       if (!lease.mayConfirm(record, bootMs())) {
         return;
       }
-      grants.noteConfirmed({
+      grants.recordConfirmation({
         revision: record.revision,
-        hasLapsed: lease.hasLapsed(bootMs()),
+        hasExpired: lease.hasExpired(bootMs()),
       });
       lease.confirm(requestedAtMs, record);
       return;
@@ -252,7 +252,7 @@
     logger.log("ownership_sealed_here", {
       service,
       revision: record.revision,
-      tenure_left_ms: Math.round(lease.untilMs - bootMs()),
+      tenure_left_ms: Math.round(lease.expiresAtMs - bootMs()),
     });
     onSealed(service);
   }
@@ -261,7 +261,7 @@
   private requestPromises(service: string): void {
     const { lease, logger, onPromiseNeeded } = this.context;
     const nowMs = bootMs();
-    const confirmedForMs = lease.confirmedForMs(nowMs);
+    const confirmedForMs = lease.confirmationAgeMs(nowMs);
     if (confirmedForMs <= PROMISE_REQUEST_DELAY_MS) {
       this.dependsOnPromises = false;
       return;
--- a/packages/router/src/ownership_lease_manager_test.ts
+++ b/packages/router/src/ownership_lease_manager_test.ts
@@ -5,7 +5,11 @@
  */
 import { setImmediate as nextTurn } from "node:timers/promises";
 import { expect } from "chai";
-import { GrantBook, OwnershipRecord, Tenure } from "@bamboolink/keyspace";
+import {
+  GrantTracker,
+  OwnershipLease,
+  OwnershipRecord,
+} from "@bamboolink/keyspace";
 import { Logger } from "@bamboolink/logger";
 import type { Store } from "@bamboolink/store";
 import { okAsync } from "neverthrow";
@@ -26,7 +30,7 @@
   const logger = Logger.createBounded("test", { level: "error" });
   const directory = OwnershipDirectory.create(logger);
   directory.updateRecord(SERVICE, RECORD);
-  const lease = Tenure.create();
+  const lease = OwnershipLease.create();
   const found = stored === undefined ? undefined : { key: "", ...stored };
   const manager = OwnershipLeaseManager.create({
     store: { get: () => okAsync(found) } as unknown as Store,
@@ -34,7 +38,7 @@
     directory,
     inspector: RecordInspector.create({ logger, directory, era: () => 0 }),
     lease,
-    grants: GrantBook.create(bootMs()),
+    grants: GrantTracker.create(bootMs()),
     random: Math.random,
     ownAddress: () => "own",
     ownService: () => SERVICE,
@@ -54,7 +58,7 @@
   const { manager, lease } = createManager(stored);
   manager.tick();
   await nextTurn();
-  return lease.longestHoldMs(bootMs()) > 0;
+  return lease.maxHoldMs(bootMs()) > 0;
 }
 
 describe("ownership lease manager", () => {
@@ -87,9 +91,9 @@
       const askedAtMs = bootMs() - 300;
       manager.onSharedRead({ service: SERVICE, askedAtMs, revision: 8 });
       await nextTurn();
-      expect(lease.longestHoldMs(bootMs())).to.equal(0);
+      expect(lease.maxHoldMs(bootMs())).to.equal(0);
       manager.onSharedRead({ service: SERVICE, askedAtMs, revision: 7 });
-      expect(lease.confirmedForMs(askedAtMs)).to.equal(0);
+      expect(lease.confirmationAgeMs(askedAtMs)).to.equal(0);
     });
   });
 });
--- a/packages/router/src/ownership_manager.ts
+++ b/packages/router/src/ownership_manager.ts
@@ -8,13 +8,13 @@
   assignUnowned,
   type Candidate,
   type FreedRange,
-  type GrantBook,
+  type GrantTracker,
   intersect,
   type KeyRange,
+  type OwnershipLease,
   type OwnershipRecord,
   type PlannedMove,
-  type PromiseQuestion,
-  type Tenure,
+  type PromiseRequest,
 } from "@bamboolink/keyspace";
 import type { Logger } from "@bamboolink/logger";
 import type { MemberView } from "@bamboolink/membership";
@@ -44,8 +44,8 @@
   readonly view: MemberView;
   readonly directory: OwnershipDirectory;
   readonly inspector: RecordInspector;
-  readonly grants: GrantBook;
-  readonly lease: Tenure;
+  readonly grants: GrantTracker;
+  readonly lease: OwnershipLease;
   readonly backend: LocalBackend;
   readonly backendManager: () => BackendManager;
   readonly handoverCoordinator: HandoverCoordinator;
@@ -151,7 +151,7 @@
     const { grants, backendManager } = this.context;
     const service = this.ownService;
     const isUnreadyOwner = backendManager().phase !== "ready" &&
-      grants.ownCount > 0;
+      grants.ownKeyCount > 0;
     return service !== undefined && this.candidatesFor(service).length > 0 &&
       (grants.isReleasing || isUnreadyOwner);
   }
@@ -178,7 +178,7 @@
   }
 
   /** Whether this daemon may promise an owner not to take over its keys for a while. */
-  mayPromise(service: string, question: PromiseQuestion): boolean {
+  mayPromise(service: string, question: PromiseRequest): boolean {
     return this.leader.mayPromise(service, question);
   }
 
@@ -217,13 +217,13 @@
     this.leader.onRecord(service, record);
     if (service === this.ownService && this.registrationRevision > 0) {
       const { grants, handoverCoordinator, backend } = this.context;
-      const before = grants.ownCount;
-      grants.noteOwnership(record, {
+      const before = grants.ownKeyCount;
+      grants.applyRecord(record, {
         daemon: this.ownAddress,
         revision: Math.max(record.revision, this.registrationRevision),
       });
-      if (grants.ownCount > before) {
-        handoverCoordinator.takeArrived((key) => grants.isOwn(key)).forEach((
+      if (grants.ownKeyCount > before) {
+        handoverCoordinator.takeArrived((key) => grants.owns(key)).forEach((
           range,
         ) => backend.profile.seed(range, range.load));
       }
@@ -264,7 +264,7 @@
   private beginDueReleases(): void {
     const { grants, backendManager } = this.context;
     const service = this.ownService;
-    if (service === undefined || grants.ownCount === 0) {
+    if (service === undefined || grants.ownKeyCount === 0) {
       return;
     }
     const { phase, handOverUntilMs } = backendManager();
@@ -276,14 +276,14 @@
     // A backend server that drains without a heartbeat holds its keys until its grant expires, and serves them while
     // requests may still be dispatched to it.
     const hasDrained = (phase === "draining" || phase === "evacuated") &&
-      (steadyMs() > handOverUntilMs || grants.heldForMs(bootMs()) === 0);
+      (steadyMs() > handOverUntilMs || grants.remainingHoldMs(bootMs()) === 0);
     if (hasDrained || phase === "absent") {
       grants.beginRelease(grants.ownRanges);
       return;
     }
     if (backendManager().sinceLastHeartbeatMs() > HEARTBEAT_TIMEOUT_MS) {
       // No heartbeats arrive: once its grants have expired, the backend server can't serve their keys any more.
-      grants.beginRelease(grants.findLapsed(bootMs()));
+      grants.beginRelease(grants.findExpired(bootMs()));
     }
   }
 
--- a/packages/router/src/record_inspector.ts
+++ b/packages/router/src/record_inspector.ts
@@ -3,7 +3,11 @@
  *
  * @module
  */
-import { OwnershipRecord, RepairWait, RestoreWait } from "@bamboolink/keyspace";
+import {
+  OwnershipRecord,
+  RepairTimer,
+  RestoreTimer,
+} from "@bamboolink/keyspace";
 import type { Logger } from "@bamboolink/logger";
 import type { StoredRecord } from "@bamboolink/store";
 import { bootMs } from "./clock.ts";
@@ -30,8 +34,8 @@
 
 /** What is known about one service's record in the store. */
 interface RecordState {
-  readonly repair: RepairWait;
-  readonly restore: RestoreWait;
+  readonly repair: RepairTimer;
+  readonly restore: RestoreTimer;
   earlier: OwnershipRecord | undefined;
 }
 
@@ -72,12 +76,12 @@
       return undefined;
     }
     if (found !== undefined) {
-      state.repair.noteReadable();
-      state.restore.noteCurrent(found, bootMs());
+      state.repair.markReadable();
+      state.restore.recordCurrentEra(found, bootMs());
       return found;
     }
     // Logged once per revision, since owners read the record every second or two.
-    if (state.repair.noteSpoiled(stored?.revision ?? 0, bootMs())) {
+    if (state.repair.markCorrupt(stored?.revision ?? 0, bootMs())) {
       this.context.logger.log("ownership_unreadable", {
         service,
         known_revision: known?.revision,
@@ -91,26 +95,26 @@
   onRecordInForce(service: string, record: OwnershipRecord): void {
     if (record.era === this.context.era()) {
       const { repair, restore } = this.stateOf(service);
-      repair.noteReadable();
-      restore.noteCurrent(record, bootMs());
+      repair.markReadable();
+      restore.recordCurrentEra(record, bootMs());
     }
   }
 
   /** Whether the last read found no record in force, although there was one. */
   lacksRecordInForce(service: string): boolean {
     const { repair, restore } = this.stateOf(service);
-    return repair.isSpoiled || restore.isFormer;
+    return repair.isCorrupt || restore.isOfEarlierEra;
   }
 
   /** The revision of a corrupt record that may be replaced now, if there is one. */
   findRepairableRevision(service: string): number | undefined {
-    return this.stateOf(service).repair.findDue(bootMs());
+    return this.stateOf(service).repair.findReplaceableRevision(bootMs());
   }
 
   /** The record of an earlier era that may be replaced now, if there is one. */
   findRestorableRecord(service: string): EarlierRecord | undefined {
     const { restore, earlier: record } = this.stateOf(service);
-    const revision = restore.findDue(bootMs());
+    const revision = restore.findReplaceableRevision(bootMs());
     return revision === undefined ? undefined : { revision, record };
   }
 
@@ -126,9 +130,9 @@
     const { logger, directory, era } = this.context;
     const state = this.stateOf(service);
     const revision = read.stored?.revision ?? 0;
-    state.repair.noteReadable();
+    state.repair.markReadable();
     state.earlier = read.found;
-    if (state.restore.noteFormer(revision, bootMs())) {
+    if (state.restore.recordEarlierEra(revision, bootMs())) {
       logger.log("ownership_of_former_era", {
         service,
         revision,
@@ -145,8 +149,8 @@
       return known;
     }
     const state = {
-      repair: RepairWait.create(),
-      restore: RestoreWait.create(),
+      repair: RepairTimer.create(),
+      restore: RestoreTimer.create(),
       earlier: undefined,
     };
     this.states.set(service, state);
--- a/packages/router/src/record_writer.ts
+++ b/packages/router/src/record_writer.ts
@@ -5,7 +5,7 @@
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { BamboolinkError } from "@bamboolink/errors";
-import { OwnershipRecord, WriteTurns } from "@bamboolink/keyspace";
+import { OwnershipRecord, WriteBackoff } from "@bamboolink/keyspace";
 import type { Logger } from "@bamboolink/logger";
 import { type Store, writeSettled } from "@bamboolink/store";
 import { err, ok } from "neverthrow";
@@ -44,10 +44,10 @@
 export class RecordWriter {
   private readonly servicesInFlight = new Set<string>();
   private readonly pauseEndsAtMs = new Map<string, number>();
-  private readonly conflictBackoff: WriteTurns;
+  private readonly conflictBackoff: WriteBackoff;
 
   private constructor(private readonly context: RecordWriterContext) {
-    this.conflictBackoff = WriteTurns.create(context.random);
+    this.conflictBackoff = WriteBackoff.create(context.random);
   }
 
   static create(context: RecordWriterContext): RecordWriter {
@@ -164,7 +164,7 @@
         expectedRevision: known.revision,
       });
       if (error === undefined) {
-        this.conflictBackoff.noteWon();
+        this.conflictBackoff.recordSuccess();
         return;
       }
       if (error.code !== "conflict") {
@@ -191,7 +191,7 @@
   ): Promise<BamboolinkError | undefined> {
     const { store, directory, inspector, logger, onWritten } = this.context;
     const { purpose, expectedRevision } = write;
-    const record = write.record.writtenIn(store.era);
+    const record = write.record.withEra(store.era);
     const logFields = { service, purpose, from_revision: expectedRevision };
     const written = await writeSettled(store, {
       key: OWNERSHIP_PREFIX + service,
@@ -223,7 +223,9 @@
     service: string,
     staleRevision: number,
   ): Promise<void> {
-    await sleep(this.conflictBackoff.noteLost(), undefined, { ref: false });
+    await sleep(this.conflictBackoff.recordConflict(), undefined, {
+      ref: false,
+    });
     if (
       (this.context.directory.record(service)?.revision ?? 0) <= staleRevision
     ) {
--- a/packages/router/src/answer_sender.ts
+++ b/packages/router/src/response_sender.ts
@@ -6,7 +6,7 @@
 import {
   type LinkDelay,
   LinkPacer,
-  type WaitingAnswer,
+  type WaitingResponse,
 } from "@bamboolink/admission";
 import type { FrameSocket } from "./frame_socket.ts";
 import {
@@ -15,7 +15,7 @@
   FRAME_KINDS,
   type LoadReport,
 } from "./link_codec.ts";
-import type { Outcome } from "./work.ts";
+import type { Outcome } from "./routed_request.ts";
 
 /** Answers up to this size leave at once, in bytes: about 12 ms of a link of 10 Mbit/s. */
 const SMALL_BYTES = 16_384;
@@ -26,10 +26,10 @@
 /** Share of the link for large answers; the rest is for small ones, requests and gossip. */
 const LINK_SHARE = 0.9;
 
-const NO_DELAY: LinkDelay = { inTimeMs: 0, lateMs: 0 };
+const NO_DELAY: LinkDelay = { onTimeMs: 0, lateMs: 0 };
 
 /** Where an outcome goes, and until when it is wanted. */
-export interface AnswerTarget {
+export interface ResponseTarget {
   readonly frames: FrameSocket;
   /** The number of the request on its link. */
   readonly id: number;
@@ -37,13 +37,13 @@
   readonly objectiveAtMs: number;
 }
 
-interface LargeAnswer extends WaitingAnswer, AnswerTarget {
+interface LargeAnswer extends WaitingResponse, ResponseTarget {
   readonly answer: Extract<Outcome, { kind: "answer" }>;
   readonly load: LoadReport;
 }
 
 /** Sends the outcomes of one daemon. */
-export class AnswerSender {
+export class ResponseSender {
   private readonly pacer: LinkPacer<LargeAnswer>;
   private readonly sizes = new Map<string, number>();
   /** Requests of each route that are being run for other daemons. */
@@ -65,8 +65,8 @@
   static create(
     linkBytesPerSecond: number,
     nowMs: () => number,
-  ): AnswerSender {
-    return new AnswerSender(linkBytesPerSecond, nowMs);
+  ): ResponseSender {
+    return new ResponseSender(linkBytesPerSecond, nowMs);
   }
 
   /** How many answers have not left yet. */
@@ -75,12 +75,12 @@
   }
 
   /** A request of a route is run for another daemon from now on, or not any more. */
-  noteRunning(route: string, change: 1 | -1): void {
+  adjustRunning(route: string, change: 1 | -1): void {
     this.running.set(route, (this.running.get(route) ?? 0) + change);
   }
 
   /** Until the answer to a request of a route would have left, beside the time to make it. */
-  expect(route: string): LinkDelay {
+  estimateDelay(route: string): LinkDelay {
     const size = this.sizes.get(route) ?? 0;
     if (size <= SMALL_BYTES) {
       return NO_DELAY;
@@ -89,11 +89,11 @@
       const each = this.sizes.get(other) ?? 0;
       return each <= SMALL_BYTES ? sum : sum + each * count;
     }, 0);
-    return this.pacer.expect(size + made, this.nowMs());
+    return this.pacer.estimateDelay(size + made, this.nowMs());
   }
 
   /** Sends an outcome, now or when its turn comes. */
-  send(target: AnswerTarget, outcome: Outcome, load: LoadReport): void {
+  send(target: ResponseTarget, outcome: Outcome, load: LoadReport): void {
     const { frames, id, route } = target;
     const size = outcome.kind === "answer" ? outcome.body.length : 0;
     if (outcome.kind === "answer") {
@@ -104,7 +104,7 @@
       this.write(frames, encodeOutcome(id, outcome, load));
       return;
     }
-    this.pacer.add({ ...target, answer: outcome, load, bytesLeft: size });
+    this.pacer.add({ ...target, answer: outcome, load, remainingBytes: size });
     this.pump();
   }
 
@@ -133,10 +133,10 @@
 
   private sendPiece(waiting: LargeAnswer): void {
     const { frames, id, answer, load } = waiting;
-    const from = answer.body.length - waiting.bytesLeft;
+    const from = answer.body.length - waiting.remainingBytes;
     const body = answer.body.subarray(from, from + PIECE_BYTES);
-    waiting.bytesLeft -= body.length;
-    if (waiting.bytesLeft > 0) {
+    waiting.remainingBytes -= body.length;
+    if (waiting.remainingBytes > 0) {
       const { piece: kind } = FRAME_KINDS;
       this.write(frames, encodeFrame({ kind, id, body }));
       return;
@@ -146,7 +146,7 @@
   }
 
   private write(frames: FrameSocket, bytes: Buffer): void {
-    this.pacer.noteWritten(bytes.length, this.nowMs());
+    this.pacer.recordWritten(bytes.length, this.nowMs());
     frames.write(bytes);
   }
 }
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -6,14 +6,14 @@
 import type { Server } from "node:http";
 import type { Server as ConnectionServer } from "node:net";
 import { setTimeout as sleep } from "node:timers/promises";
-import { ResendBudget } from "@bamboolink/admission";
+import { FleetRetryBudget } from "@bamboolink/admission";
 import { ServerConnections } from "@bamboolink/connections";
 import { BamboolinkError } from "@bamboolink/errors";
 import {
-  GrantBook,
+  GrantTracker,
+  OwnershipLease,
   type OwnershipRecord,
   type PlannedMove,
-  Tenure,
 } from "@bamboolink/keyspace";
 import type { Logger } from "@bamboolink/logger";
 import {
@@ -23,8 +23,8 @@
 } from "@bamboolink/membership";
 import { Metrics } from "@bamboolink/metrics";
 import type { Store } from "@bamboolink/store";
-import { AnswerSender } from "./answer_sender.ts";
-import { BackendBoard } from "./backend_board.ts";
+import { ResponseSender } from "./response_sender.ts";
+import { BackendLoadTracker } from "./backend_load_tracker.ts";
 import { BackendManager } from "./backend_manager.ts";
 import { bootMs, steadyMs } from "./clock.ts";
 import { ConfigurationKeeper } from "./configuration_keeper.ts";
@@ -99,9 +99,9 @@
 /** The router beside one backend server. */
 export class Router {
   private readonly metrics = Metrics.create();
-  private readonly grants = GrantBook.create(bootMs());
-  private readonly tenure = Tenure.create(bootMs());
-  private readonly board = BackendBoard.create();
+  private readonly grants = GrantTracker.create(bootMs());
+  private readonly tenure = OwnershipLease.create(bootMs());
+  private readonly board = BackendLoadTracker.create();
   private readonly questions = PeerQuestions.create();
   private readonly desk = HandoverCoordinator.create();
   private readonly lag = LoopLag.create(TICK_MS, steadyMs);
@@ -120,7 +120,7 @@
   private readonly members: MemberDirectory;
   private readonly gossip: GossipNode;
   private readonly forwarder: Forwarder;
-  private readonly budget: ResendBudget;
+  private readonly budget: FleetRetryBudget;
   private readonly ingress: Ingress;
   private readonly linkServer: LinkServer;
   private readonly peerServer: PeerServer;
@@ -167,8 +167,8 @@
       logger,
       random,
       nowMs: steadyMs,
-      tellAll: (news) => this.gossip.spread(news),
-      tellSome: (news) => this.gossip.spreadToSome(news),
+      broadcast: (news) => this.gossip.spread(news),
+      sendToSome: (news) => this.gossip.spreadToSome(news),
     });
     this.evacuation = EvacuationKeeper.create({
       address: settings.gossipAddress,
@@ -213,7 +213,7 @@
       onChange: () => this.gossip.announce(),
       onFreed: (freed) => this.ownership.handleFreed(freed),
       beforeDrain: () => this.ownership.releaseAll(),
-      onProcessEnded: (end) => this.quarantine.noteEnded(end),
+      onProcessEnded: (end) => this.quarantine.recordBackendEnd(end),
       beforeGrant: () => this.meetHandovers(),
     });
     this.ownership = OwnershipManager.create({
@@ -266,11 +266,11 @@
     this.forwarder = Forwarder.create({
       logger,
       onLoad: (daemon, route, load) =>
-        this.board.noteRoute(daemon, { route, load, nowMs: steadyMs() }),
-      onUnreachable: (daemon) => this.board.noteUnreachable(daemon, steadyMs()),
+        this.board.recordRouteLoad(daemon, { route, load, nowMs: steadyMs() }),
+      onUnreachable: (daemon) => this.board.markUnreachable(daemon, steadyMs()),
     });
     const { resendRatio, resendExtra, resendWindowMs } = settings.bounds;
-    this.budget = ResendBudget.create({
+    this.budget = FleetRetryBudget.create({
       ratio: resendRatio,
       extra: resendExtra,
       windowMs: resendWindowMs,
@@ -278,7 +278,7 @@
     const runner = RequestRunner.create({
       logger,
       view: this.view,
-      board: this.board,
+      loadTracker: this.board,
       directory: this.directory,
       backend: this.backend,
       forwarder: this.forwarder,
@@ -298,7 +298,7 @@
     });
     this.linkServer = LinkServer.create({
       logger,
-      answers: AnswerSender.create(
+      responses: ResponseSender.create(
         settings.linkBytesPerSecond ?? Infinity,
         steadyMs,
       ),
@@ -435,12 +435,12 @@
     this.logger.log("backend_load", {
       service: this.keeper.service,
       ...this.backend.takeLoadSummary(),
-      lag_ms: Math.round(this.lag.takeLargestMs()),
+      lag_ms: Math.round(this.lag.takeMaxMs()),
     });
   }
 
   private tick(): void {
-    this.lag.noteTick();
+    this.lag.recordTick();
     this.backend.tick();
     this.ownership.tick();
     this.linkServer.tick();
@@ -467,7 +467,7 @@
   private noteReports(reports: readonly MemberReport[]): void {
     const nowMs = steadyMs();
     reports.forEach((report) => {
-      this.board.noteLoad(report.address, report, nowMs);
+      this.board.recordLoad(report.address, report, nowMs);
       this.configuration.notePeer(report);
       if (report.ownershipRevision > this.directory.revision) {
         this.askOwnership(report.forwardAddress);
@@ -510,7 +510,7 @@
         return;
       case "crash_reports":
       case "cleared":
-        this.quarantine.take(datagram);
+        this.quarantine.applyUpdate(datagram);
         return;
       case "evacuation":
         this.evacuation.take(datagram);
@@ -520,7 +520,7 @@
         return;
       case "promise":
         if (datagram.service === this.keeper.service) {
-          this.tenure.notePromise(datagram.sender, datagram.askedAtMs);
+          this.tenure.recordPromise(datagram.sender, datagram.askedAtMs);
         }
     }
   }
@@ -715,9 +715,9 @@
       bamboolink_configuration_version: () => this.configuration.version,
       bamboolink_members_alive: () => this.view.alive(steadyMs()).length,
       bamboolink_requests_quarantined: () => this.quarantine.count,
-      bamboolink_owned_keys: () => this.grants.ownCount,
+      bamboolink_owned_keys: () => this.grants.ownKeyCount,
       bamboolink_tenure_left_ms: () =>
-        Math.max(0, this.tenure.untilMs - bootMs()),
+        Math.max(0, this.tenure.expiresAtMs - bootMs()),
       bamboolink_zone_evacuated: () => this.evacuation.isEvacuated ? 1 : 0,
       bamboolink_store_era: () => this.store.era,
       bamboolink_store_reached: () => this.store.isReachable ? 1 : 0,
