--- a/packages/router/src/backend_manager.ts
+++ b/packages/router/src/backend_manager.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps what is believed of the backend server on this host: which incarnation runs, whether it takes
- * work, and what it is granted.
+ * Tracks the state of the backend server on this host: which incarnation runs, whether it accepts requests, and which
+ * keys it is granted.
  *
  * @module
  */
@@ -22,168 +22,165 @@
   BackendHeartbeat,
 } from "./ports/backend_protocol.ts";
 
-/** An incarnation that was silent for so long is no longer believed against another, in milliseconds. */
-const SILENT_MS = 2_500;
-/**
- * Share of the usual pause between two heartbeats after which the next one is overdue; it arrives a little late at
- * times.
- */
-const OVERDUE_SHARE = 1.5;
-/** What a backend server must hold for at least until its next heartbeat is answered, in milliseconds. */
-const LEAST_HOLD_MS = 1_200;
-/** A backend server that refuses connections for so long is gone, in milliseconds. */
-const REFUSED_MS = 150;
-/** Each heartbeat says anew how long the server stays cold, so longer times are not believed, in milliseconds. */
-const LONGEST_COLD_MS = 60_000;
+/** An incarnation without heartbeats for this long, in milliseconds, no longer takes precedence over another one. */
+const INCARNATION_TIMEOUT_MS = 2_500;
+/** Multiple of the typical heartbeat interval after which a heartbeat is overdue; some arrive a little late. */
+const OVERDUE_FACTOR = 1.5;
+/** Minimum remaining hold that lasts a backend server until the response to its next heartbeat, in milliseconds. */
+const MIN_HOLD_MS = 1_200;
+/** A backend server that still refuses connections after this time, in milliseconds, has ended. */
+const REFUSAL_PROBE_DELAY_MS = 150;
+/** Maximum accepted cold time, in milliseconds; longer ones are capped, as each heartbeat reports the time anew. */
+const MAX_COLD_MS = 60_000;
 
 /**
- * Share of the drain's bound in which requests that wait already are still handed over; the rest is for
- * their way to the backend server and for differences of clocks.
+ * Share of the drain time during which queued requests are still forwarded to the backend server; the rest allows for
+ * their transmission and for clock differences.
  */
-const DRAIN_SHARE = 0.75;
+const DRAIN_FORWARD_SHARE = 0.75;
 
-/** What operators say of the own availability zone. */
+/** Evacuation state of the own availability zone, as operators have set it. */
 export interface EvacuationState {
-  /** Whether the backend server here is to get nothing. */
+  /** Whether the backend server on this host is to get no new requests and no keys. */
   readonly isEvacuated: boolean;
-  /** Until when keys are handed over and waiting requests run, on the steady clock. */
+  /** When the handover of keys and the forwarding of queued requests end, on the monotonic clock, in milliseconds. */
   readonly handOverUntilMs: number;
-  /** Waits until it is known what is evacuated; returns whether that is so. */
+  /** Waits until it is known which zones are evacuated; returns false if that is still unknown. */
   awaitSettled(): Promise<boolean>;
 }
 
-/** What the keeper needs. */
+/** Dependencies of the backend manager. */
 export interface BackendManagerContext {
   readonly logger: Logger;
   readonly backend: LocalBackend;
   readonly grants: GrantTracker;
   readonly lease: OwnershipLease;
-  /** What operators say of the own availability zone. */
   readonly evacuation: EvacuationState;
-  /** From the word that the backend server leaves until it may get nothing more, in milliseconds. */
+  /** Time from the start of a drain until the backend server may get no more requests, in milliseconds. */
   readonly drainMs: () => number;
-  /** Asks at the address of a backend server of a service who is there. */
+  /** Probes which incarnation responds at the address of the backend server of a service. */
   readonly probe: (service: string) => Promise<ProbeResult>;
   readonly isKeyed: (service: string) => boolean;
-  /** Whether the configuration in force names a service; `undefined` while none is in force. */
+  /** Whether the configuration in force contains a service; `undefined` while none is in force. */
   readonly isConfigured: (service: string) => boolean | undefined;
-  /** Most requests in one second that a cold backend server of a service may get; 0 where that is not known. */
+  /** Maximum requests per second to a cold backend server of a service; 0 if unknown. */
   readonly coldLimit: (service: string) => number;
-  /** Usual pause between two heartbeats, in milliseconds. */
+  /** Typical interval between two heartbeats, in milliseconds. */
   readonly heartbeatIntervalMs: () => number;
-  /** Whether keys may be granted: the daemon has seen who owns what. */
+  /** Whether keys of a service may be granted: the daemon is registered and knows their owners. */
   readonly mayGrant: (service: string) => boolean;
   /** Called when the phase or the incarnation has changed. */
   readonly onChange: () => void;
-  /** Called when the backend server has given back ranges that were asked for. */
+  /** Called when the backend server has released ranges that were requested from it. */
   readonly onFreed: (
     freed: readonly { from: number; to: number; handover: string }[],
   ) => void;
   /**
-   * Called when the backend server has said that it leaves, before it is answered; returns whether its keys can
-   * be given to others now.
+   * Called after the backend server has announced its drain, or while it is evacuated, before its heartbeat is responded
+   * to; returns whether its keys can be reassigned now.
    */
   readonly beforeDrain: () => Promise<boolean>;
   /** Called when the process of an incarnation has ended. */
   readonly onProcessEnded: (end: BackendProcessEnd) => void;
-  /** Called before a grant is decided; it may hold the answer back for a handover. */
+  /** Called before a grant is decided; it may delay the heartbeat response for a handover. */
   readonly beforeGrant: () => Promise<void>;
 }
 
 /** The end of a backend server's process. */
 export interface BackendProcessEnd {
   readonly instance: string | undefined;
-  /** Nobody listens at its address, or another incarnation has taken its place. */
+  /** "refused": nothing listens at its address; "replaced": another incarnation has taken its place. */
   readonly proof: "refused" | "replaced";
 }
 
-/** How a heartbeat is answered. */
+/** The response to a heartbeat. */
 export type HeartbeatResponse =
-  /** Without a grant nothing is renewed. */
+  /** Without a grant, no hold is renewed. */
   | { readonly kind: "acknowledged"; readonly grant: Grant | undefined }
-  /** As if it had not arrived: the backend server says the same again. */
+  /** Treated as not received, so the backend server sends its state again. */
   | { readonly kind: "unacknowledged" };
 
-/** The state of the backend server on this host. */
+/** Tracks the backend server on this host by its heartbeats, and decides its grants. */
 export class BackendManager {
-  private readonly instances = IncarnationTracker.create();
-  private last: BackendHeartbeat | undefined;
-  private current: MemberPhase = "absent";
-  private drainingSinceMs = Infinity;
-  /** Until when the backend server said that it is cold, on the steady clock. */
-  private coldUntilMs = -Infinity;
-  /** Whether somebody is asking at the address already: all that ran there is lost together. */
-  private isAsking = false;
+  private readonly incarnations = IncarnationTracker.create();
+  private lastHeartbeat: BackendHeartbeat | undefined;
+  private currentPhase: MemberPhase = "absent";
+  private drainStartedAtMs = Infinity;
+  /** End of the cold time that the backend server has reported, on the monotonic clock. */
+  private coldEndsAtMs = -Infinity;
+  /** Whether a probe of the address is in flight; one is enough, since all requests that ran there are lost together. */
+  private isProbing = false;
 
   private constructor(private readonly context: BackendManagerContext) {}
 
-  /** Creates a keeper that knows of no backend server. */
+  /** Creates a manager without a known backend server. */
   static create(context: BackendManagerContext): BackendManager {
     return new BackendManager(context);
   }
 
-  /** Whether the backend server takes work. */
+  /** The phase of the backend server; "absent" while none is known. */
   get phase(): MemberPhase {
-    return this.current;
+    return this.currentPhase;
   }
 
   /** The service that the backend server announced. */
   get service(): string | undefined {
-    return this.last?.service;
+    return this.lastHeartbeat?.service;
   }
 
-  /** How many requests it runs at a time. */
+  /** Maximum number of requests that the backend server runs concurrently. */
   get slots(): number {
-    return this.last?.slots ?? 0;
+    return this.lastHeartbeat?.slots ?? 0;
   }
 
-  /** For how long the backend server has said nothing, in milliseconds. */
+  /** Time since the last heartbeat, in milliseconds. */
   sinceLastHeartbeatMs(): number {
-    return bootMs() - this.instances.lastHeartbeatMs;
+    return bootMs() - this.incarnations.lastHeartbeatMs;
   }
 
-  /** Until when requests may be handed over to a backend server that leaves, on the steady clock. */
-  get handOverUntilMs(): number {
+  /** Until when requests may be forwarded to a draining or evacuated backend server, on the monotonic clock. */
+  get forwardUntilMs(): number {
     const { evacuation, drainMs } = this.context;
-    const drainedMs = this.drainingSinceMs + drainMs() * DRAIN_SHARE;
+    const drainForwardEndMs = this.drainStartedAtMs +
+      drainMs() * DRAIN_FORWARD_SHARE;
     return evacuation.isEvacuated
-      ? Math.min(drainedMs, evacuation.handOverUntilMs)
-      : drainedMs;
+      ? Math.min(drainForwardEndMs, evacuation.handOverUntilMs)
+      : drainForwardEndMs;
   }
 
-  /** The own availability zone was evacuated or taken back. */
+  /** Called when the evacuation of the own availability zone begins or ends. */
   onEvacuationChanged(): void {
-    if (this.current === "ready" || this.current === "evacuated") {
-      this.setPhase(this.openPhase, "evacuation");
+    if (this.currentPhase === "ready" || this.currentPhase === "evacuated") {
+      this.setPhase(this.undrainedPhase, "evacuation");
     }
   }
 
-  /** The phase of a backend server that does not leave. */
-  private get openPhase(): MemberPhase {
+  /** The phase of a backend server that does not drain. */
+  private get undrainedPhase(): MemberPhase {
     return this.context.evacuation.isEvacuated ? "evacuated" : "ready";
   }
 
-  /** Takes a heartbeat; returns how it is to be answered. */
+  /** Handles a heartbeat; returns the response to it. */
   async handleHeartbeat(
     heartbeat: BackendHeartbeat,
   ): Promise<HeartbeatResponse> {
     const { instance, service } = heartbeat;
     if (!await this.context.evacuation.awaitSettled()) {
-      // A daemon that has just started must not take work for a server that has been evacuated.
+      // A daemon that has just started must not accept requests for an evacuated backend server.
       return { kind: "unacknowledged" };
     }
     if (this.context.isConfigured(service) === false) {
       this.context.logger.log("heartbeat_of_unknown_service", {
         instance,
         service,
-        believed: this.instances.current?.instance,
+        believed: this.incarnations.current?.instance,
       });
       return { kind: "unacknowledged" };
     }
-    const isHeldBack = this.isHeldBack(heartbeat) &&
+    const mustDelay = this.mayDelayDrain(heartbeat) &&
       !await this.context.beforeDrain() &&
-      this.context.grants.remainingHoldMs(bootMs()) > LEAST_HOLD_MS;
-    if (isHeldBack) {
+      this.context.grants.remainingHoldMs(bootMs()) > MIN_HOLD_MS;
+    if (mustDelay) {
       this.context.logger.log("leaving_not_acknowledged", {
         instance: heartbeat.instance,
         service: heartbeat.service,
@@ -193,120 +190,126 @@
     if (this.hasKeysToEvacuate(heartbeat)) {
       await this.context.beforeDrain();
     }
-    return { kind: "acknowledged", grant: await this.takeGrant(heartbeat) };
+    return {
+      kind: "acknowledged",
+      grant: await this.classifyAndGrant(heartbeat),
+    };
   }
 
   /**
-   * Whether a backend server must not be told yet that its leaving is known. From then on it gets no requests,
-   * and while the store can't be written nobody else can be given its keys: for as long as it waits for the
-   * acknowledgement, it goes on serving them. Only an acknowledgement renews its hold, so it gets one before
-   * that runs out, and serves on within the bound of its drain.
+   * Whether the drain of the backend server may have to remain unacknowledged for now. Once it is acknowledged, the
+   * server gets no requests, and while the store can't be written its keys can't be reassigned; as long as it waits for
+   * the acknowledgement, it goes on serving them. Only an acknowledgement renews its hold, so it gets one before the hold
+   * expires, and goes on serving within its drain time.
    */
-  private isHeldBack(heartbeat: BackendHeartbeat): boolean {
-    return heartbeat.isDraining && this.current === "ready" &&
-      this.instances.isCurrent(heartbeat) &&
+  private mayDelayDrain(heartbeat: BackendHeartbeat): boolean {
+    return heartbeat.isDraining && this.currentPhase === "ready" &&
+      this.incarnations.isCurrent(heartbeat) &&
       this.context.grants.ownKeyCount > 0;
   }
 
   private hasKeysToEvacuate(heartbeat: BackendHeartbeat): boolean {
-    return this.current === "evacuated" &&
-      this.instances.isCurrent(heartbeat) &&
+    return this.currentPhase === "evacuated" &&
+      this.incarnations.isCurrent(heartbeat) &&
       this.context.grants.ownKeyCount > 0;
   }
 
-  private async takeGrant(
+  private async classifyAndGrant(
     heartbeat: BackendHeartbeat,
   ): Promise<Grant | undefined> {
-    const verdict = this.instances.classify(heartbeat);
-    if (verdict.kind === "late") {
+    const status = this.incarnations.classify(heartbeat);
+    if (status.kind === "late") {
       return undefined;
     }
-    if (verdict.kind === "current") {
-      return this.accept(heartbeat, undefined);
+    if (status.kind === "current") {
+      return this.acceptHeartbeat(heartbeat, undefined);
     }
-    const succession = await this.verify(heartbeat);
+    const succession = await this.verifySuccession(heartbeat);
     if (succession === "rejected") {
       this.context.logger.log("heartbeat_not_believed", {
         instance: heartbeat.instance,
         born: heartbeat.born,
-        believed: this.instances.current?.instance,
-        believed_born: this.instances.current?.born,
+        believed: this.incarnations.current?.instance,
+        believed_born: this.incarnations.current?.born,
         silent_ms: Math.round(this.sinceLastHeartbeatMs()),
       });
       return undefined;
     }
-    return this.accept(heartbeat, succession);
+    return this.acceptHeartbeat(heartbeat, succession);
   }
 
-  /** Takes the word of a backend server that it leaves. */
+  /** Handles a notification of departure; the backend server drains from then on. */
   handleDeparture(departure: BackendDeparture): void {
-    if (this.isOfCurrent(departure)) {
+    if (this.isFromCurrent(departure)) {
       this.setPhase("draining", "departure");
     }
   }
 
-  /** Requests contradict what is believed. */
+  /** Handles outcomes of requests that contradict the assumed state of the backend server. */
   async handleSuspicion(suspicion: BackendSuspicion): Promise<void> {
-    if (this.current === "absent") {
+    if (this.currentPhase === "absent") {
       return;
     }
     if (suspicion === "wrong_instance") {
-      // The new incarnation's first heartbeat is on its way; until then nothing is handed over.
+      // Until the first heartbeat of the new incarnation arrives, no requests are forwarded.
       this.setPhase("absent", suspicion);
       return;
     }
-    if (this.isAsking) {
+    if (this.isProbing) {
       return;
     }
-    this.isAsking = true;
-    await this.askWhetherEnded(suspicion).finally(() => {
-      this.isAsking = false;
+    this.isProbing = true;
+    await this.probeProcessEnd(suspicion).finally(() => {
+      this.isProbing = false;
     });
   }
 
-  private async askWhetherEnded(suspicion: BackendSuspicion): Promise<void> {
-    await new Promise((resolve) => setTimeout(resolve, REFUSED_MS));
-    const found = await this.context.probe(this.last?.service ?? "");
+  private async probeProcessEnd(suspicion: BackendSuspicion): Promise<void> {
+    await new Promise((resolve) => setTimeout(resolve, REFUSAL_PROBE_DELAY_MS));
+    const found = await this.context.probe(this.lastHeartbeat?.service ?? "");
     if (found.kind === "refused") {
-      // Nobody listens at the address: the process has ended, and whatever it held with it.
+      // Nothing listens at the address: the process has ended, and all its holds with it.
       this.context.grants.recordProcessEnd();
       this.setPhase("absent", suspicion);
-      const { instance } = this.last ?? {};
+      const { instance } = this.lastHeartbeat ?? {};
       this.context.onProcessEnded({ instance, proof: "refused" });
     }
   }
 
-  /** A departure may leave out when its sender started. */
-  private isOfCurrent({ instance, born }: Incarnation): boolean {
-    const { current } = this.instances;
+  /** Whether a notification is from the current incarnation; a departure may omit the start time of its sender. */
+  private isFromCurrent({ instance, born }: Incarnation): boolean {
+    const { current } = this.incarnations;
     return instance === current?.instance &&
       (born === undefined || born === current.born);
   }
 
   /**
-   * Takes over what a believed heartbeat says, and decides the grant with which it is answered.
+   * Applies an accepted heartbeat, and decides the grant of its response.
    *
-   * @param succession how a new incarnation took the place of the known one; `undefined` for the known one.
+   * @param succession how a new incarnation replaced the known one; `undefined` for the known one.
    */
-  private async accept(
+  private async acceptHeartbeat(
     heartbeat: BackendHeartbeat,
     succession: Succession | undefined,
   ): Promise<Grant | undefined> {
     const { grants, lease, backend, isKeyed } = this.context;
     const nowMs = bootMs();
     if (succession === undefined) {
-      this.instances.accept(heartbeat, nowMs);
+      this.incarnations.accept(heartbeat, nowMs);
     } else {
-      const { instance } = this.last ?? {};
+      const { instance } = this.lastHeartbeat ?? {};
       this.context.onProcessEnded({ instance, proof: "replaced" });
-      this.instances.acceptSuccessor(heartbeat, { succession, nowMs });
+      this.incarnations.acceptSuccessor(heartbeat, { succession, nowMs });
     }
-    if (this.last !== undefined && this.last.service !== heartbeat.service) {
+    if (
+      this.lastHeartbeat !== undefined &&
+      this.lastHeartbeat.service !== heartbeat.service
+    ) {
       grants.clearKeys();
       lease.reset();
     }
-    this.last = heartbeat;
-    this.noteCold(heartbeat);
+    this.lastHeartbeat = heartbeat;
+    this.updateColdTime(heartbeat);
     const keyed = isKeyed(heartbeat.service);
     if (succession === undefined) {
       grants.adoptTokens(heartbeat.holds, nowMs);
@@ -324,7 +327,7 @@
     if (freed.length > 0) {
       this.context.onFreed(freed);
     }
-    const phase = heartbeat.isDraining ? "draining" : this.openPhase;
+    const phase = heartbeat.isDraining ? "draining" : this.undrainedPhase;
     this.setPhase(phase, "heartbeat");
     if (!keyed || !this.context.mayGrant(heartbeat.service)) {
       return undefined;
@@ -332,26 +335,28 @@
     if (!heartbeat.isDraining) {
       await this.context.beforeGrant();
     }
-    if (!this.instances.isCurrent(heartbeat)) {
-      // Another incarnation was found meanwhile; this answer reaches nobody.
+    if (!this.incarnations.isCurrent(heartbeat)) {
+      // The incarnation was replaced meanwhile, so nobody receives this response.
       return undefined;
     }
-    const answeredMs = bootMs();
-    // The hold counts from when the heartbeat was sent, which was before it arrived.
-    const processingMs = answeredMs - nowMs;
+    const respondedAtMs = bootMs();
+    // The hold counts from when the heartbeat was sent, so the time since its arrival is deducted.
+    const processingMs = respondedAtMs - nowMs;
     const maxHoldMs = lease.maxHoldMs(nowMs);
     const grant = grants.createGrant({
       maxHoldMs,
-      nowMs: answeredMs,
+      nowMs: respondedAtMs,
       processingMs,
     });
     backend.onKeysGranted();
     return grant.holdMs > 0 ? grant : undefined;
   }
 
-  private noteCold({ instance, service, coldMs }: BackendHeartbeat): void {
+  private updateColdTime(
+    { instance, service, coldMs }: BackendHeartbeat,
+  ): void {
     const nowMs = steadyMs();
-    if (coldMs > 0 && nowMs >= this.coldUntilMs) {
+    if (coldMs > 0 && nowMs >= this.coldEndsAtMs) {
       const most_per_second = this.context.coldLimit(service);
       this.context.logger.log("backend_cold", {
         instance,
@@ -360,55 +365,57 @@
         most_per_second,
       });
     }
-    this.coldUntilMs = nowMs + Math.min(coldMs, LONGEST_COLD_MS);
+    this.coldEndsAtMs = nowMs + Math.min(coldMs, MAX_COLD_MS);
   }
 
   private setPhase(phase: MemberPhase, cause: string): void {
     const { backend, logger, isKeyed, onChange } = this.context;
-    const { last } = this;
+    const { lastHeartbeat } = this;
     const isDraining = phase === "draining";
-    this.drainingSinceMs = isDraining
-      ? Math.min(this.drainingSinceMs, steadyMs())
+    this.drainStartedAtMs = isDraining
+      ? Math.min(this.drainStartedAtMs, steadyMs())
       : Infinity;
     backend.updateIdentity(
-      last === undefined || phase === "absent" ? undefined : {
-        instance: last.instance,
-        born: last.born,
-        service: last.service,
-        slots: last.slots,
+      lastHeartbeat === undefined || phase === "absent" ? undefined : {
+        instance: lastHeartbeat.instance,
+        born: lastHeartbeat.born,
+        service: lastHeartbeat.service,
+        slots: lastHeartbeat.slots,
         phase,
-        isKeyed: isKeyed(last.service),
-        forwardUntilMs: this.handOverUntilMs,
-        coldUntilMs: this.coldUntilMs,
-        coldLimit: this.context.coldLimit(last.service),
+        isKeyed: isKeyed(lastHeartbeat.service),
+        forwardUntilMs: this.forwardUntilMs,
+        coldUntilMs: this.coldEndsAtMs,
+        coldLimit: this.context.coldLimit(lastHeartbeat.service),
       },
     );
-    if (phase !== this.current) {
+    if (phase !== this.currentPhase) {
       logger.log("backend_phase_changed", {
-        from: this.current,
+        from: this.currentPhase,
         to: phase,
         cause,
-        instance: last?.instance,
-        sequence: last?.sequence,
+        instance: lastHeartbeat?.instance,
+        sequence: lastHeartbeat?.sequence,
       });
-      this.current = phase;
+      this.currentPhase = phase;
       onChange();
     }
   }
 
-  /** Whether the sender of a heartbeat has taken the place of the known incarnation, by who is at the address. */
-  private async verify(heartbeat: BackendHeartbeat): Promise<Succession> {
+  /** Checks by a probe of the address whether the sender of a heartbeat has replaced the known incarnation. */
+  private async verifySuccession(
+    heartbeat: BackendHeartbeat,
+  ): Promise<Succession> {
     const arrivedMs = bootMs();
-    const believed = this.instances.current;
-    const found = await this.context.probe(this.last?.service ?? "");
-    if (believed !== this.instances.current) {
-      // The known incarnation was heard meanwhile, or another one was found: the sender says the same again.
+    const knownIncarnation = this.incarnations.current;
+    const found = await this.context.probe(this.lastHeartbeat?.service ?? "");
+    if (knownIncarnation !== this.incarnations.current) {
+      // The known incarnation sent a heartbeat meanwhile or was replaced; the sender will repeat its own heartbeat.
       return "rejected";
     }
-    return this.instances.classifySuccession(heartbeat, found, {
+    return this.incarnations.classifySuccession(heartbeat, found, {
       arrivedMs,
-      overdueMs: this.context.heartbeatIntervalMs() * OVERDUE_SHARE,
-      unresponsiveMs: SILENT_MS,
+      overdueMs: this.context.heartbeatIntervalMs() * OVERDUE_FACTOR,
+      unresponsiveMs: INCARNATION_TIMEOUT_MS,
     });
   }
 }
--- a/packages/router/src/backend_manager_test.ts
+++ b/packages/router/src/backend_manager_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of what a backend server is answered when it leaves.
+ * Tests of the responses to heartbeats of draining, evacuated, restarted and misconfigured backend servers.
  *
  * @module
  */
@@ -25,7 +25,7 @@
 import { RequestQuarantine } from "./request_quarantine.ts";
 
 const ADDRESS = "127.0.0.1:9";
-const KEYS = { from: 0, to: 99 };
+const OWN_RANGE = { from: 0, to: 99 };
 
 function createEvacuation(): {
   -readonly [Name in keyof EvacuationState]: EvacuationState[Name];
@@ -37,7 +37,7 @@
   };
 }
 
-function createKeeper(
+function createManager(
   grants: GrantTracker,
   lease: OwnershipLease,
   options: {
@@ -88,23 +88,23 @@
   });
 }
 
-/** A daemon that owns some keys by the record and may grant them. */
+/** Creates the state of a daemon that owns some keys by the record and may grant them. */
 function createOwner(): { grants: GrantTracker; lease: OwnershipLease } {
   const grants = GrantTracker.create(bootMs() - 60_000);
   const lease = OwnershipLease.create();
   lease.confirm(bootMs(), { arbiters: [], revision: 1 });
   const record = OwnershipRecord.create()
-    .assign([{ ...KEYS, daemon: "own", handover: "" }])
+    .assign([{ ...OWN_RANGE, daemon: "own", handover: "" }])
     .withRevision(7);
   grants.applyRecord(record, { daemon: "own", revision: 7 });
   return { grants, lease };
 }
 
-function rangesIn(answer: HeartbeatResponse) {
-  return answer.kind === "acknowledged" ? answer.grant?.ranges : undefined;
+function rangesIn(response: HeartbeatResponse) {
+  return response.kind === "acknowledged" ? response.grant?.ranges : undefined;
 }
 
-describe("backend keeper", () => {
+describe("backend manager", () => {
   const heartbeat: BackendHeartbeat = {
     kind: "heartbeat",
     instance: "i-1",
@@ -118,127 +118,121 @@
     freed: [],
   };
 
-  describe("when the backend server of some keys leaves", () => {
-    // Symptom: keys of a backend server that is emptied have no owner for more than a second.
-    // Sequence: it says that it leaves; it is answered with its keys; a heartbeat later, without them.
-    // Cause: its keys were given up a tick after the answer that could have said so.
-    it("is not granted them any more in the answer that acknowledges it", async () => {
+  describe("when a backend server that owns keys drains", () => {
+    // Guards against keys of a draining backend server without an owner for more than a second: they were released a tick
+    // after the response that acknowledged the drain, so only the response to the next heartbeat omitted them.
+    it("no longer grants them in the response that acknowledges the drain", async () => {
       const { grants, lease } = createOwner();
-      const keeper = createKeeper(grants, lease);
-      const granted = await keeper.handleHeartbeat(heartbeat);
+      const manager = createManager(grants, lease);
+      const granted = await manager.handleHeartbeat(heartbeat);
       expect(rangesIn(granted)).to.have.length(1);
-      const leaving = { ...heartbeat, sequence: 2, isDraining: true };
-      const answered = await keeper.handleHeartbeat(leaving);
-      expect(rangesIn(answered)).to.deep.equal([]);
+      const draining = { ...heartbeat, sequence: 2, isDraining: true };
+      const response = await manager.handleHeartbeat(draining);
+      expect(rangesIn(response)).to.deep.equal([]);
     });
 
-    // Symptom: the keys of two backend servers that leave have no owner for as long as the store is away.
-    // Sequence: the store goes down; the servers say that they leave and are told that this is known; from
-    // then on they get no requests, and nobody else can be given their keys.
-    // Cause: a leaving was acknowledged although it could not be followed.
-    it("is not told so while its keys can't be given to others, and serves on", async () => {
+    // Guards against keys of two draining backend servers without an owner for as long as the store is down: their drain
+    // was acknowledged, so they got no more requests, although their keys could not be reassigned.
+    it("does not acknowledge the drain while the keys can't be reassigned, and remains ready", async () => {
       const { grants, lease } = createOwner();
-      const keeper = createKeeper(grants, lease, {
+      const manager = createManager(grants, lease, {
         beforeDrain: () => false,
       });
-      await keeper.handleHeartbeat(heartbeat);
-      const leaving = { ...heartbeat, sequence: 2, isDraining: true };
-      const answered = await keeper.handleHeartbeat(leaving);
-      expect(answered.kind).to.equal("unacknowledged");
-      expect(keeper.phase).to.equal("ready");
-      expect(grants.owns(KEYS.from)).to.equal(true);
+      await manager.handleHeartbeat(heartbeat);
+      const draining = { ...heartbeat, sequence: 2, isDraining: true };
+      const response = await manager.handleHeartbeat(draining);
+      expect(response.kind).to.equal("unacknowledged");
+      expect(manager.phase).to.equal("ready");
+      expect(grants.owns(OWN_RANGE.from)).to.equal(true);
     });
   });
 
   describe("when operators evacuate the availability zone", () => {
-    it("gives the keys away with the next answer, and takes work again once the zone is taken back", async () => {
+    it("releases the keys with the next response, and is ready again once the evacuation ends", async () => {
       const { grants, lease } = createOwner();
       const evacuation = createEvacuation();
-      const keeper = createKeeper(grants, lease, { evacuation });
-      await keeper.handleHeartbeat(heartbeat);
+      const manager = createManager(grants, lease, { evacuation });
+      await manager.handleHeartbeat(heartbeat);
       evacuation.isEvacuated = true;
-      keeper.onEvacuationChanged();
-      expect(keeper.phase).to.equal("evacuated");
-      const answered = await keeper.handleHeartbeat({
+      manager.onEvacuationChanged();
+      expect(manager.phase).to.equal("evacuated");
+      const response = await manager.handleHeartbeat({
         ...heartbeat,
         sequence: 2,
       });
-      expect(rangesIn(answered)).to.deep.equal([]);
-      expect(keeper.phase).to.equal("evacuated");
+      expect(rangesIn(response)).to.deep.equal([]);
+      expect(manager.phase).to.equal("evacuated");
       evacuation.isEvacuated = false;
-      keeper.onEvacuationChanged();
-      expect(keeper.phase).to.equal("ready");
+      manager.onEvacuationChanged();
+      expect(manager.phase).to.equal("ready");
     });
 
-    // Guards against a backend server that leaves an evacuated zone being given work again when the zone is taken back.
-    it("leaves a backend server that drains as it is", async () => {
+    // Guards against sending requests to a draining backend server again when the evacuation of its zone ends.
+    it("does not change the phase of a draining backend server", async () => {
       const { grants, lease } = createOwner();
       const evacuation = createEvacuation();
-      const keeper = createKeeper(grants, lease, { evacuation });
-      await keeper.handleHeartbeat({ ...heartbeat, isDraining: true });
+      const manager = createManager(grants, lease, { evacuation });
+      await manager.handleHeartbeat({ ...heartbeat, isDraining: true });
       evacuation.isEvacuated = true;
-      keeper.onEvacuationChanged();
-      expect(keeper.phase).to.equal("draining");
+      manager.onEvacuationChanged();
+      expect(manager.phase).to.equal("draining");
       evacuation.isEvacuated = false;
-      keeper.onEvacuationChanged();
-      expect(keeper.phase).to.equal("draining");
+      manager.onEvacuationChanged();
+      expect(manager.phase).to.equal("draining");
     });
 
-    // Guards against a daemon that starts again giving work to an evacuated server.
-    it("acknowledges nothing until it is known what is evacuated", async () => {
+    // Guards against a restarted daemon that forwards requests to an evacuated backend server.
+    it("acknowledges nothing until it is known which zones are evacuated", async () => {
       const { grants, lease } = createOwner();
       const evacuation = createEvacuation();
       evacuation.awaitSettled = () => Promise.resolve(false);
-      const keeper = createKeeper(grants, lease, { evacuation });
-      const answered = await keeper.handleHeartbeat(heartbeat);
-      expect(answered.kind).to.equal("unacknowledged");
-      expect(keeper.phase).to.equal("absent");
+      const manager = createManager(grants, lease, { evacuation });
+      const response = await manager.handleHeartbeat(heartbeat);
+      expect(response.kind).to.equal("unacknowledged");
+      expect(manager.phase).to.equal("absent");
     });
   });
 
-  describe("when a backend server starts again under its id", () => {
-    const former = { ...heartbeat, born: 1_000, sequence: 40 };
+  describe("when a backend server restarts with the same id", () => {
+    const previous = { ...heartbeat, born: 1_000, sequence: 40 };
     const next = { ...heartbeat, born: 2_000, sequence: 1 };
 
-    function createServed(presence: { born: number | undefined }) {
+    function createRestarted(presence: { born: number | undefined }) {
       const { grants, lease } = createOwner();
       const found = { kind: "answered" as const, instance: "i-1", ...presence };
-      const keeper = createKeeper(grants, lease, {
+      const manager = createManager(grants, lease, {
         probe: () => Promise.resolve(found),
       });
-      return { grants, keeper };
+      return { grants, manager };
     }
 
-    // Symptom: keys of a restarted backend server are not served until its count has passed the former one.
-    // Sequence: it crashes and starts again between two heartbeats, under the id that it had.
-    // Cause: its heartbeats were taken for late ones of the former process.
-    it("grants its keys to the new process with a higher token", async () => {
-      const { keeper } = createServed({ born: 2_000 });
-      const [before] = rangesIn(await keeper.handleHeartbeat(former))!;
-      const [after] = rangesIn(await keeper.handleHeartbeat(next))!;
+    // Guards against keys of a backend server that crashed and restarted between two heartbeats being unserved until its
+    // sequence number exceeds the previous one: its heartbeats were treated as late ones of the previous process.
+    it("grants the keys to the new process with a higher fencing token", async () => {
+      const { manager } = createRestarted({ born: 2_000 });
+      const [before] = rangesIn(await manager.handleHeartbeat(previous))!;
+      const [after] = rangesIn(await manager.handleHeartbeat(next))!;
       expect(after!.token).to.be.above(before!.token);
     });
 
-    // Symptom: a restarted backend server gets no keys, since a dead process is believed.
-    // Sequence: after its first heartbeat comes one that was held back, from the process before.
-    // Cause: an incarnation that has ended was not remembered.
-    it("drops what the former process had sent", async () => {
-      const { keeper } = createServed({ born: 2_000 });
-      await keeper.handleHeartbeat(former);
-      await keeper.handleHeartbeat(next);
-      const held = await keeper.handleHeartbeat({ ...former, sequence: 41 });
-      expect(rangesIn(held)).to.equal(undefined);
-      const following = await keeper.handleHeartbeat({ ...next, sequence: 2 });
+    // Guards against a restarted backend server that gets no keys: a delayed heartbeat of the previous process, received
+    // after the first one of the new process, was accepted, since ended incarnations were not remembered.
+    it("drops delayed heartbeats of the previous process", async () => {
+      const { manager } = createRestarted({ born: 2_000 });
+      await manager.handleHeartbeat(previous);
+      await manager.handleHeartbeat(next);
+      const delayed = await manager.handleHeartbeat({ ...previous, sequence: 41 });
+      expect(rangesIn(delayed)).to.equal(undefined);
+      const following = await manager.handleHeartbeat({ ...next, sequence: 2 });
       expect(rangesIn(following)).to.have.length(1);
     });
 
-    // Symptom: two servers hold the same keys.
-    // Sequence: a held-back heartbeat passes for a new process; the living one's grant is forgotten, and its keys
-    // are written to another owner before it has run out.
-    // Cause: an answer that can't tell two processes apart was taken for the end of one.
-    it("counts the former process's grant until it has run out where the answer proves nothing", async () => {
+    // Guards against two servers that hold the same keys: a delayed heartbeat was treated as a new process, the grant of
+    // the live one was discarded, and its keys were assigned to another owner before the grant expired. The response to
+    // the probe, which could not distinguish the two processes, had been taken as proof that one had ended.
+    it("keeps the previous process's grant until it expires if the probe is inconclusive", async () => {
       const { grants, lease } = createOwner();
-      const keeper = createKeeper(grants, lease, {
+      const manager = createManager(grants, lease, {
         heartbeatMs: 0,
         probe: () =>
           Promise.resolve({
@@ -247,44 +241,43 @@
             born: undefined,
           }),
       });
-      await keeper.handleHeartbeat(former);
+      await manager.handleHeartbeat(previous);
       await new Promise((resolve) => setTimeout(resolve, 2));
-      await keeper.handleHeartbeat(next);
-      grants.beginRelease([KEYS]);
+      await manager.handleHeartbeat(next);
+      grants.beginRelease([OWN_RANGE]);
       expect(grants.findReleased(bootMs())).to.deep.equal([]);
-      expect(grants.findReleased(bootMs() + 6_000)).to.deep.equal([KEYS]);
+      expect(grants.findReleased(bootMs() + 6_000)).to.deep.equal([OWN_RANGE]);
     });
 
-    it("takes the departure of the former process for nothing", async () => {
-      const { keeper } = createServed({ born: 2_000 });
-      await keeper.handleHeartbeat(former);
-      await keeper.handleHeartbeat(next);
-      keeper.handleDeparture({
+    it("ignores the departure of the previous process", async () => {
+      const { manager } = createRestarted({ born: 2_000 });
+      await manager.handleHeartbeat(previous);
+      await manager.handleHeartbeat(next);
+      manager.handleDeparture({
         kind: "departure",
         instance: "i-1",
         born: 1_000,
       });
-      expect(keeper.phase).to.equal("ready");
+      expect(manager.phase).to.equal("ready");
     });
   });
 
-  describe("when a heartbeat names a service that nobody configured", () => {
-    // Symptom: the keys of a living backend server are given up, or it gets no requests.
-    // Sequence: another writer sends a well-formed heartbeat of a service that does not exist.
-    // Cause: the service of the last heartbeat was taken for the server's, whatever it was.
-    it("changes nothing and is not acknowledged", async () => {
+  describe("when a heartbeat names a service that is not configured", () => {
+    // Guards against releasing the keys of a live backend server, or sending it no requests, after another client sent a
+    // well-formed heartbeat of a service that does not exist: the service of the last heartbeat was always adopted.
+    it("changes nothing and does not acknowledge the heartbeat", async () => {
       const { grants, lease } = createOwner();
-      const keeper = createKeeper(grants, lease);
-      await keeper.handleHeartbeat(heartbeat);
-      const answer = await keeper.handleHeartbeat({
+      const manager = createManager(grants, lease);
+      await manager.handleHeartbeat(heartbeat);
+      const response = await manager.handleHeartbeat({
         ...heartbeat,
         service: "elsewhere",
         sequence: 2,
       });
-      expect(answer.kind).to.equal("unacknowledged");
-      expect(keeper.service).to.equal("rooms");
-      expect(keeper.phase).to.equal("ready");
-      expect(grants.owns(KEYS.from)).to.equal(true);
+      expect(response.kind).to.equal("unacknowledged");
+      expect(manager.service).to.equal("rooms");
+      expect(manager.phase).to.equal("ready");
+      expect(grants.owns(OWN_RANGE.from)).to.equal(true);
     });
   });
 });
--- a/packages/router/src/ownership_manager.ts
+++ b/packages/router/src/ownership_manager.ts
@@ -267,7 +267,7 @@
     if (service === undefined || grants.ownKeyCount === 0) {
       return;
     }
-    const { phase, handOverUntilMs } = backendManager();
+    const { phase, forwardUntilMs } = backendManager();
     if (
       this.candidatesFor(service).length === 0 || !this.leaseManager.isMovable()
     ) {
@@ -276,7 +276,7 @@
     // A backend server that drains without a heartbeat holds its keys until its grant expires, and serves them while
     // requests may still be dispatched to it.
     const hasDrained = (phase === "draining" || phase === "evacuated") &&
-      (steadyMs() > handOverUntilMs || grants.remainingHoldMs(bootMs()) === 0);
+      (steadyMs() > forwardUntilMs || grants.remainingHoldMs(bootMs()) === 0);
     if (hasDrained || phase === "absent") {
       grants.beginRelease(grants.ownRanges);
       return;
