--- a/packages/router/src/backend_manager_test.ts
+++ b/packages/router/src/backend_manager_test.ts
@@ -197,9 +197,13 @@
     const previous = { ...heartbeat, born: 1_000, sequence: 40 };
     const next = { ...heartbeat, born: 2_000, sequence: 1 };
 
-    function createRestarted(presence: { born: number | undefined }) {
+    function createRestarted(probeFields: { born: number | undefined }) {
       const { grants, lease } = createOwner();
-      const found = { kind: "answered" as const, instance: "i-1", ...presence };
+      const found = {
+        kind: "answered" as const,
+        instance: "i-1",
+        ...probeFields,
+      };
       const manager = createManager(grants, lease, {
         probe: () => Promise.resolve(found),
       });
--- a/packages/router/src/heartbeat_server.ts
+++ b/packages/router/src/heartbeat_server.ts
@@ -71,12 +71,12 @@
 }
 
 async function handleNotification(
-  keeper: BackendManager,
+  backendManager: BackendManager,
   notification: BackendNotification,
 ): Promise<HeartbeatResponse> {
   if (notification.kind === "heartbeat") {
-    return await keeper.handleHeartbeat(notification);
+    return await backendManager.handleHeartbeat(notification);
   }
-  keeper.handleDeparture(notification);
+  backendManager.handleDeparture(notification);
   return { kind: "acknowledged", grant: undefined };
 }
--- a/packages/router/src/key_rebalancer.ts
+++ b/packages/router/src/key_rebalancer.ts
@@ -41,8 +41,8 @@
 
 /** Plans and begins moves of keys. */
 export class KeyRebalancer {
-  private planned: readonly PlannedMove[] = [];
-  private begun: readonly PlannedMove[] = [];
+  private plannedMoves: readonly PlannedMove[] = [];
+  private begunMoves: readonly PlannedMove[] = [];
   private lastPlannedAtMs = -Infinity;
 
   private constructor(private readonly context: KeyRebalancerContext) {}
@@ -54,7 +54,7 @@
 
   /** The moves that were begun last, with the new owner of each range. */
   get destinations(): readonly PlannedMove[] {
-    return this.begun;
+    return this.begunMoves;
   }
 
   /** Plans moves of the keys with the highest load while the own backend server is more loaded than others. */
@@ -70,10 +70,10 @@
       return;
     }
     this.lastPlannedAtMs = nowMs;
-    const isMoving = grants.isReleasing || this.planned.length > 0;
+    const isMoving = grants.isReleasing || this.plannedMoves.length > 0;
     if (
       backendManager().phase !== "ready" || isMoving ||
-      !leaseManager.isMovable()
+      !leaseManager.canMoveKeys()
     ) {
       return;
     }
@@ -91,7 +91,7 @@
     };
     const record = this.context.directory.record(service);
     const owners = new Set(record?.daemons ?? []);
-    this.planned = planRebalance(own, others, {
+    this.plannedMoves = planRebalance(own, others, {
       ranges: grants.ownRanges,
       profile: backend.profile,
       keyless: new Set(
@@ -100,7 +100,7 @@
           .filter((daemon) => !owners.has(daemon)),
       ),
     });
-    this.planned.forEach((move) => {
+    this.plannedMoves.forEach((move) => {
       logger.log("ownership_shed", {
         service,
         ...move,
@@ -108,11 +108,11 @@
         deviation: own.deviation,
       });
     });
-    const recipients = new Set(this.planned.map(({ daemon }) => daemon));
+    const recipients = new Set(this.plannedMoves.map(({ daemon }) => daemon));
     recipients.forEach((recipient) =>
       this.context.onMovesPlanned(
         recipient,
-        this.planned.filter(({ daemon }) => daemon === recipient),
+        this.plannedMoves.filter(({ daemon }) => daemon === recipient),
       )
     );
   }
@@ -144,7 +144,7 @@
 
   /** Whether planned moves of keys await the next response to a heartbeat. */
   get hasPlannedMoves(): boolean {
-    return this.planned.length > 0;
+    return this.plannedMoves.length > 0;
   }
 
   /**
@@ -152,17 +152,17 @@
    * serving the keys, and by then the new owners are ready to receive them.
    */
   async beginMoves(): Promise<void> {
-    const { planned } = this;
-    const recipients = [...new Set(planned.map(({ daemon }) => daemon))];
+    const { plannedMoves } = this;
+    const recipients = [...new Set(plannedMoves.map(({ daemon }) => daemon))];
     await this.context.handoverCoordinator.awaitRecipients(recipients);
-    this.planned = [];
+    this.plannedMoves = [];
     const service = this.context.ownService();
     if (
       service !== undefined &&
-      await this.context.leaseManager.reachesStore(service)
+      await this.context.leaseManager.checkStoreReachable(service)
     ) {
-      this.begun = planned;
-      this.context.grants.beginRelease(planned);
+      this.begunMoves = plannedMoves;
+      this.context.grants.beginRelease(plannedMoves);
     }
   }
 }
--- a/packages/router/src/ownership_leader.ts
+++ b/packages/router/src/ownership_leader.ts
@@ -38,8 +38,8 @@
 
 /** One daemon's part in assigning keys, as the leader or as an arbiter. */
 export class OwnershipLeader {
-  private readonly waits = new Map<string, TakeoverTimers>();
-  private readonly promises = new Map<string, ArbiterState>();
+  private readonly takeoverTimers = new Map<string, TakeoverTimers>();
+  private readonly arbiterStates = new Map<string, ArbiterState>();
   private readonly startedAtMs = steadyMs();
   private readonly bootedAtMs = bootMs();
   private registrationRevision = Infinity;
@@ -54,24 +54,25 @@
   /** Sets a revision of the store that was written by this process. */
   onRegistered(revision: number): void {
     this.registrationRevision = revision;
-    this.promises.forEach((book) => book.recordStartRevision(revision));
+    this.arbiterStates.forEach((state) => state.recordStartRevision(revision));
   }
 
   /** Takes in the seals and appointments of a record; the waits before a takeover count from them. */
-  onRecord(service: string, record: OwnershipRecord): void {
-    const waits = this.waits.get(service) ?? TakeoverTimers.create();
-    this.waits.set(service, waits);
-    waits.observe(record, bootMs());
-    const promises = this.promises.get(service) ??
+  observeRecord(service: string, record: OwnershipRecord): void {
+    const timers = this.takeoverTimers.get(service) ?? TakeoverTimers.create();
+    this.takeoverTimers.set(service, timers);
+    timers.observe(record, bootMs());
+    const arbiterState = this.arbiterStates.get(service) ??
       ArbiterState.create(this.bootedAtMs);
-    this.promises.set(service, promises);
-    promises.recordStartRevision(this.registrationRevision);
-    promises.observe(record);
+    this.arbiterStates.set(service, arbiterState);
+    arbiterState.recordStartRevision(this.registrationRevision);
+    arbiterState.observe(record);
   }
 
   /** Whether this daemon may promise an owner not to take over its keys. */
-  mayPromise(service: string, question: PromiseRequest): boolean {
-    return this.promises.get(service)?.mayPromise(question, bootMs()) === true;
+  mayPromise(service: string, request: PromiseRequest): boolean {
+    return this.arbiterStates.get(service)?.mayPromise(request, bootMs()) ===
+      true;
   }
 
   /**
@@ -146,9 +147,9 @@
   /** Replaces a record that can't be read, or that belongs to an earlier era of the store. */
   private replaceRecord(service: string): void {
     const { inspector, writer } = this.context;
-    const earlier = inspector.findRestorableRecord(service);
-    if (earlier !== undefined) {
-      void writer.restore(service, earlier);
+    const earlierEraRecord = inspector.findRestorableRecord(service);
+    if (earlierEraRecord !== undefined) {
+      void writer.restore(service, earlierEraRecord);
       return;
     }
     const corruptRevision = inspector.findRepairableRevision(service);
@@ -191,7 +192,7 @@
    */
   private findExpiredSeals(service: string, known: OwnershipRecord): number[] {
     const nowMs = bootMs();
-    const waits = this.waits.get(service);
+    const timers = this.takeoverTimers.get(service);
     const appointment = known.findArbiter(this.ownAddress);
     if (appointment === undefined && !this.isLeading()) {
       return [];
@@ -199,7 +200,7 @@
     return known.sealedOwners
       .map(({ seal }) => seal)
       .filter((seal) =>
-        waits?.hasLeaseEnded(seal, nowMs, appointment) === true
+        timers?.hasLeaseEnded(seal, nowMs, appointment) === true
       );
   }
 
--- a/packages/router/src/ownership_lease_manager.ts
+++ b/packages/router/src/ownership_lease_manager.ts
@@ -80,7 +80,7 @@
   /** Whether keys are to be released to others. */
   readonly isReleasingKeys: () => boolean;
   /** Called after each successful read of the own service's record. */
-  readonly onRead: (service: string) => void;
+  readonly onRecordRead: (service: string) => void;
   /** Called when the record shows that this daemon is sealed. */
   readonly onSealed: (service: string) => void;
   /** Requests a promise from an arbiter, which returns the timestamp of the request with it. */
@@ -92,7 +92,7 @@
 
 /** Renews the ownership lease of the backend server on this host. */
 export class OwnershipLeaseManager {
-  private readonly confirmSchedule: ConfirmationSchedule;
+  private readonly confirmationSchedule: ConfirmationSchedule;
   /** When a read was requested from the shared reader, while its response is awaited. */
   private sharedReadRequestedAtMs: number | undefined;
   private promisesRequestedAtMs = -Infinity;
@@ -100,7 +100,7 @@
   private dependsOnPromises = false;
 
   private constructor(private readonly context: OwnershipLeaseManagerContext) {
-    this.confirmSchedule = ConfirmationSchedule.create(context.random);
+    this.confirmationSchedule = ConfirmationSchedule.create(context.random);
   }
 
   static create(context: OwnershipLeaseManagerContext): OwnershipLeaseManager {
@@ -130,17 +130,17 @@
       return;
     }
     this.sharedReadRequestedAtMs = undefined;
-    this.confirmSchedule.recordSharedRead(bootMs());
+    this.confirmationSchedule.recordSharedRead(bootMs());
     if (record.revision < revision) {
       void this.read(service, bootMs());
       return;
     }
-    this.context.onRead(service);
+    this.context.onRecordRead(service);
     this.confirmByRecord(service, record, askedAtMs);
   }
 
   /** Whether a move of keys that begins now can probably be written to the store. */
-  isMovable(): boolean {
+  canMoveKeys(): boolean {
     return this.context.lease.confirmationAgeMs(bootMs()) <
         MAX_MOVE_CONFIRMATION_AGE_MS &&
       !this.isRestored;
@@ -157,11 +157,11 @@
    * Checks by a read that the store is reachable, just before keys are released. Without it, keys that were released in
    * the seconds before an outage was detected had no owner until the outage ended.
    */
-  async reachesStore(service: string): Promise<boolean> {
+  async checkStoreReachable(service: string): Promise<boolean> {
     const sentAtMs = bootMs();
     if (this.context.findReader() === undefined) {
       // This read also confirms the lease, so the interval to the next one starts now.
-      this.confirmSchedule.recordSent(sentAtMs);
+      this.confirmationSchedule.recordSent(sentAtMs);
     }
     const read = this.read(service, sentAtMs);
     await Promise.race([
@@ -175,14 +175,15 @@
   /** Confirms the lease by a read of the record, which proves that no takeover of this daemon's keys can have finished. */
   private confirm(service: string): void {
     const nowMs = bootMs();
-    const mustRelease = this.context.isReleasingKeys() && !this.isMovable();
+    const mustRelease = this.context.isReleasingKeys() && !this.canMoveKeys();
     const intervalMs = mustRelease ? RELEASE_CONFIRM_INTERVAL_MS : undefined;
     if (
-      !this.confirmSchedule.isDue(nowMs, intervalMs) || this.isReadingDirectly
+      !this.confirmationSchedule.isDue(nowMs, intervalMs) ||
+      this.isReadingDirectly
     ) {
       return;
     }
-    this.confirmSchedule.recordSent(nowMs);
+    this.confirmationSchedule.recordSent(nowMs);
     const reader = mustRelease ? undefined : this.context.findReader();
     if (reader === undefined) {
       this.readDirectly(service, nowMs);
@@ -211,7 +212,7 @@
   }
 
   private async read(service: string, sentAtMs: number): Promise<void> {
-    const { store, directory, inspector, logger, onRead } = this.context;
+    const { store, directory, inspector, logger, onRecordRead } = this.context;
     const found = await store.get(OWNERSHIP_PREFIX + service);
     if (found.isErr()) {
       logger.log("store_call_failed", { step: "tenure", cause: found.error });
@@ -223,7 +224,7 @@
       return;
     }
     directory.updateRecord(service, record);
-    onRead(service);
+    onRecordRead(service);
     this.confirmByRecord(service, record, sentAtMs);
   }
 
--- a/packages/router/src/ownership_lease_manager_test.ts
+++ b/packages/router/src/ownership_lease_manager_test.ts
@@ -45,7 +45,7 @@
     findReader: () => undefined,
     onSharedReadNeeded: () => undefined,
     isReleasingKeys: () => false,
-    onRead: () => undefined,
+    onRecordRead: () => undefined,
     onSealed: () => undefined,
     onPromiseNeeded: () => undefined,
   });
--- a/packages/router/src/ownership_manager.ts
+++ b/packages/router/src/ownership_manager.ts
@@ -57,15 +57,15 @@
     daemon: string,
     moves: readonly PlannedMove[],
   ) => void;
-  /** Requests a read of the record from the shared reader, the daemon that reads the store for all owners. */
+  /** Requests a read of the record from the shared reader, the one daemon that reads the store for all owners. */
   readonly onSharedReadNeeded: (
     reader: string,
-    question: SharedReadRequest,
+    request: SharedReadRequest,
   ) => void;
   /** Requests a promise from an arbiter, which returns the timestamp of the request with it. */
   readonly onPromiseNeeded: (
     arbiter: string,
-    question: LeasePromiseRequest,
+    request: LeasePromiseRequest,
   ) => void;
 }
 
@@ -87,7 +87,7 @@
       ownAddress: () => this.ownAddress,
       findReader: () => this.leader.findReader(),
       isReleasingKeys: () => this.isReleasingKeys,
-      onRead: (service) => this.reapplyRecord(service),
+      onRecordRead: (service) => this.reapplyRecord(service),
       onSealed: (service) => this.handleSeal(service),
     });
     this.rebalancer = KeyRebalancer.create({
@@ -138,7 +138,7 @@
     if (service === undefined || this.candidatesFor(service).length === 0) {
       return true;
     }
-    if (!await this.leaseManager.reachesStore(service)) {
+    if (!await this.leaseManager.checkStoreReachable(service)) {
       return false;
     }
     const { grants } = this.context;
@@ -173,13 +173,13 @@
   }
 
   /** Handles a response of the shared reader. */
-  onSharedRead(answer: SharedReadResponse): void {
-    this.leaseManager.onSharedRead(answer);
+  onSharedRead(response: SharedReadResponse): void {
+    this.leaseManager.onSharedRead(response);
   }
 
   /** Whether this daemon may promise an owner not to take over its keys for a while. */
-  mayPromise(service: string, question: PromiseRequest): boolean {
-    return this.leader.mayPromise(service, question);
+  mayPromise(service: string, request: PromiseRequest): boolean {
+    return this.leader.mayPromise(service, request);
   }
 
   /** Whether this daemon reads the store for all owners. */
@@ -214,15 +214,15 @@
   }
 
   private applyRecord(service: string, record: OwnershipRecord): void {
-    this.leader.onRecord(service, record);
+    this.leader.observeRecord(service, record);
     if (service === this.ownService && this.registrationRevision > 0) {
       const { grants, handoverCoordinator, backend } = this.context;
-      const before = grants.ownKeyCount;
+      const previousKeyCount = grants.ownKeyCount;
       grants.applyRecord(record, {
         daemon: this.ownAddress,
         revision: Math.max(record.revision, this.registrationRevision),
       });
-      if (grants.ownKeyCount > before) {
+      if (grants.ownKeyCount > previousKeyCount) {
         handoverCoordinator.takeArrived((key) => grants.owns(key)).forEach((
           range,
         ) => backend.profile.seed(range, range.load));
@@ -269,12 +269,13 @@
     }
     const { phase, forwardUntilMs } = backendManager();
     if (
-      this.candidatesFor(service).length === 0 || !this.leaseManager.isMovable()
+      this.candidatesFor(service).length === 0 ||
+      !this.leaseManager.canMoveKeys()
     ) {
       return;
     }
-    // A backend server that drains without a heartbeat holds its keys until its grant expires, and serves them while
-    // requests may still be dispatched to it.
+    // A backend server that announced its departure without a heartbeat holds its keys until its grant expires, and
+    // serves them while requests may still be forwarded to it.
     const hasDrained = (phase === "draining" || phase === "evacuated") &&
       (steadyMs() > forwardUntilMs || grants.remainingHoldMs(bootMs()) === 0);
     if (hasDrained || phase === "absent") {
--- a/packages/router/src/record_inspector.ts
+++ b/packages/router/src/record_inspector.ts
@@ -25,7 +25,7 @@
 type Stored = Pick<StoredRecord, "value" | "revision"> | undefined;
 
 /** A record of an earlier era that is to be replaced. */
-export interface EarlierRecord {
+export interface EarlierEraRecord {
   /** The store's revision of the stored value; 0 if there is none. */
   readonly revision: number;
   /** The stored record; `undefined` if it is missing or can't be decoded. */
@@ -36,7 +36,7 @@
 interface RecordState {
   readonly repair: RepairTimer;
   readonly restore: RestoreTimer;
-  earlier: OwnershipRecord | undefined;
+  earlierEraRecord: OwnershipRecord | undefined;
 }
 
 /**
@@ -112,8 +112,8 @@
   }
 
   /** The record of an earlier era that may be replaced now, if there is one. */
-  findRestorableRecord(service: string): EarlierRecord | undefined {
-    const { restore, earlier: record } = this.stateOf(service);
+  findRestorableRecord(service: string): EarlierEraRecord | undefined {
+    const { restore, earlierEraRecord: record } = this.stateOf(service);
     const revision = restore.findReplaceableRevision(bootMs());
     return revision === undefined ? undefined : { revision, record };
   }
@@ -131,7 +131,7 @@
     const state = this.stateOf(service);
     const revision = read.stored?.revision ?? 0;
     state.repair.markReadable();
-    state.earlier = read.found;
+    state.earlierEraRecord = read.found;
     if (state.restore.recordEarlierEra(revision, bootMs())) {
       logger.log("ownership_of_former_era", {
         service,
@@ -151,7 +151,7 @@
     const state = {
       repair: RepairTimer.create(),
       restore: RestoreTimer.create(),
-      earlier: undefined,
+      earlierEraRecord: undefined,
     };
     this.states.set(service, state);
     return state;
--- a/packages/router/src/record_writer.ts
+++ b/packages/router/src/record_writer.ts
@@ -14,7 +14,7 @@
   OWNERSHIP_PREFIX,
   type OwnershipDirectory,
 } from "./ownership_directory.ts";
-import type { EarlierRecord, RecordInspector } from "./record_inspector.ts";
+import type { EarlierEraRecord, RecordInspector } from "./record_inspector.ts";
 
 /**
  * Pause after a write that failed for another reason than a conflicting write, in milliseconds. Without it, every
@@ -76,19 +76,19 @@
    * Replaces a record that can't be read, or that was deleted, with the last known one, or with one without owners if
    * none is known. The write expects the revision of the corrupt record, so it fails if somebody has changed it since.
    */
-  async repair(service: string, spoiledRevision: number): Promise<void> {
+  async repair(service: string, corruptRevision: number): Promise<void> {
     const known = this.context.directory.record(service) ??
       OwnershipRecord.create();
     await this.runExclusively(service, async () => {
       const error = await this.writeRecord(service, {
         purpose: "repair",
         record: known,
-        expectedRevision: spoiledRevision,
+        expectedRevision: corruptRevision,
       });
       if (error === undefined) {
         this.context.logger.log("ownership_repaired", {
           service,
-          spoiled_revision: spoiledRevision,
+          spoiled_revision: corruptRevision,
           known_revision: known.revision,
         });
         return;
@@ -102,21 +102,25 @@
    * Replaces a record of an earlier era, after the store was rolled back, with the newest known record, or with the
    * stored one if none is known.
    */
-  async restore(service: string, earlier: EarlierRecord): Promise<void> {
-    const known = this.context.directory.record(service) ?? earlier.record ??
+  async restore(
+    service: string,
+    earlierEraRecord: EarlierEraRecord,
+  ): Promise<void> {
+    const known = this.context.directory.record(service) ??
+      earlierEraRecord.record ??
       OwnershipRecord.create();
     await this.runExclusively(service, async () => {
       const error = await this.writeRecord(service, {
         purpose: "restore",
         record: known.restoredIn(this.context.store.era),
-        expectedRevision: earlier.revision,
+        expectedRevision: earlierEraRecord.revision,
       });
       if (error === undefined) {
         this.context.logger.log("ownership_restored", {
           service,
           era: this.context.store.era,
           known_revision: known.revision,
-          former_revision: earlier.revision,
+          former_revision: earlierEraRecord.revision,
         });
         return;
       }
