--- a/packages/router/src/backend_manager.ts
+++ b/packages/router/src/backend_manager.ts
@@ -41,7 +41,7 @@
 
 /** Evacuation state of the own availability zone, as operators have set it. */
 export interface EvacuationState {
-  /** Whether the backend server on this host is to get no new requests and no keys. */
+  /** Whether the zone is evacuated, so that the backend server on this host is to get no further requests or keys. */
   readonly isEvacuated: boolean;
   /** When the handover of keys and the forwarding of queued requests end, on the monotonic clock, in milliseconds. */
   readonly handOverUntilMs: number;
@@ -76,8 +76,8 @@
     freed: readonly { from: number; to: number; handover: string }[],
   ) => void;
   /**
-   * Called after the backend server has announced its drain, or while it is evacuated, before its heartbeat is responded
-   * to; returns whether its keys can be reassigned now.
+   * Called after the backend server has announced its drain, or while it is evacuated, before its heartbeat is
+   * responded to; returns whether its keys can be reassigned now.
    */
   readonly beforeDrain: () => Promise<boolean>;
   /** Called when the process of an incarnation has ended. */
@@ -108,7 +108,9 @@
   private drainStartedAtMs = Infinity;
   /** End of the cold time that the backend server has reported, on the monotonic clock. */
   private coldEndsAtMs = -Infinity;
-  /** Whether a probe of the address is in flight; one is enough, since all requests that ran there are lost together. */
+  /**
+   * Whether a probe of the address is in flight; one is enough, since all requests that ran there are lost together.
+   */
   private isProbing = false;
 
   private constructor(private readonly context: BackendManagerContext) {}
@@ -118,7 +120,7 @@
     return new BackendManager(context);
   }
 
-  /** The phase of the backend server; "absent" while none is known. */
+  /** The phase of the backend server; "absent" while none is known to run. */
   get phase(): MemberPhase {
     return this.currentPhase;
   }
@@ -199,8 +201,8 @@
   /**
    * Whether the drain of the backend server may have to remain unacknowledged for now. Once it is acknowledged, the
    * server gets no requests, and while the store can't be written its keys can't be reassigned; as long as it waits for
-   * the acknowledgement, it goes on serving them. Only an acknowledgement renews its hold, so it gets one before the hold
-   * expires, and goes on serving within its drain time.
+   * the acknowledgement, it goes on serving them. Only an acknowledgement renews its hold, so it gets one before the
+   * hold expires, and goes on serving within its drain time.
    */
   private mayDelayDrain(heartbeat: BackendHeartbeat): boolean {
     return heartbeat.isDraining && this.currentPhase === "ready" &&
--- a/packages/router/src/backend_manager_test.ts
+++ b/packages/router/src/backend_manager_test.ts
@@ -119,8 +119,8 @@
   };
 
   describe("when a backend server that owns keys drains", () => {
-    // Guards against keys of a draining backend server without an owner for more than a second: they were released a tick
-    // after the response that acknowledged the drain, so only the response to the next heartbeat omitted them.
+    // Guards against keys of a draining backend server without an owner for more than a second: they were released a
+    // tick after the response that acknowledged the drain, so only the response to the next heartbeat omitted them.
     it("no longer grants them in the response that acknowledges the drain", async () => {
       const { grants, lease } = createOwner();
       const manager = createManager(grants, lease);
@@ -131,8 +131,8 @@
       expect(rangesIn(response)).to.deep.equal([]);
     });
 
-    // Guards against keys of two draining backend servers without an owner for as long as the store is down: their drain
-    // was acknowledged, so they got no more requests, although their keys could not be reassigned.
+    // Guards against keys of two draining backend servers without an owner for as long as the store is down: their
+    // drain was acknowledged, so they got no more requests, although their keys could not be reassigned.
     it("does not acknowledge the drain while the keys can't be reassigned, and remains ready", async () => {
       const { grants, lease } = createOwner();
       const manager = createManager(grants, lease, {
@@ -210,8 +210,8 @@
       return { grants, manager };
     }
 
-    // Guards against keys of a backend server that crashed and restarted between two heartbeats being unserved until its
-    // sequence number exceeds the previous one: its heartbeats were treated as late ones of the previous process.
+    // Guards against keys of a backend server that crashed and restarted between two heartbeats being unserved until
+    // its sequence number exceeds the previous one: its heartbeats were treated as late ones of the previous process.
     it("grants the keys to the new process with a higher fencing token", async () => {
       const { manager } = createRestarted({ born: 2_000 });
       const [before] = rangesIn(await manager.handleHeartbeat(previous))!;
@@ -219,8 +219,8 @@
       expect(after!.token).to.be.above(before!.token);
     });
 
-    // Guards against a restarted backend server that gets no keys: a delayed heartbeat of the previous process, received
-    // after the first one of the new process, was accepted, since ended incarnations were not remembered.
+    // Guards against a restarted backend server that gets no keys: a delayed heartbeat of the previous process,
+    // received after the first one of the new process, was accepted, since ended incarnations were not remembered.
     it("drops delayed heartbeats of the previous process", async () => {
       const { manager } = createRestarted({ born: 2_000 });
       await manager.handleHeartbeat(previous);
@@ -234,9 +234,9 @@
       expect(rangesIn(following)).to.have.length(1);
     });
 
-    // Guards against two servers that hold the same keys: a delayed heartbeat was treated as a new process, the grant of
-    // the live one was discarded, and its keys were assigned to another owner before the grant expired. The response to
-    // the probe, which could not distinguish the two processes, had been taken as proof that one had ended.
+    // Guards against two servers that hold the same keys: a delayed heartbeat was treated as a new process, the grant
+    // of the live one was discarded, and its keys were assigned to another owner before the grant expired. The response
+    // to the probe, which could not distinguish the two processes, had been taken as proof that one had ended.
     it("keeps the previous process's grant until it expires if the probe is inconclusive", async () => {
       const { grants, lease } = createOwner();
       const manager = createManager(grants, lease, {
@@ -270,8 +270,8 @@
   });
 
   describe("when a heartbeat names a service that is not configured", () => {
-    // Guards against releasing the keys of a live backend server, or sending it no requests, after another client sent a
-    // well-formed heartbeat of a service that does not exist: the service of the last heartbeat was always adopted.
+    // Guards against releasing the keys of a live backend server, or sending it no requests, after another client sent
+    // a well-formed heartbeat of a service that does not exist: the service of the last heartbeat was always adopted.
     it("changes nothing and does not acknowledge the heartbeat", async () => {
       const { grants, lease } = createOwner();
       const manager = createManager(grants, lease);
--- a/packages/router/src/clock.ts
+++ b/packages/router/src/clock.ts
@@ -42,7 +42,9 @@
   }
 }
 
-/** Creates a clock by the larger advance of the monotonic clock and the time of day, so that no suspension is missed. */
+/**
+ * Creates a clock by the larger advance of the monotonic clock and the time of day, so that no suspension is missed.
+ */
 function createFallbackClock(): ReadClock {
   const start = { monotonic: performance.now(), wall: Date.now() };
   let maxElapsedMs = 0;
--- a/packages/router/src/handover_coordinator.ts
+++ b/packages/router/src/handover_coordinator.ts
@@ -76,7 +76,7 @@
       .map(([sender]) => sender);
   }
 
-  /** Waits until some of the expected keys are owned, or for 750 ms at most. */
+  /** Waits until some of the expected keys are owned, none is expected any more, or the maximum delay has passed. */
   awaitKeys(now: () => number): Promise<void> {
     const { arrivalCount } = this;
     return this.waitUntil(() =>
@@ -85,7 +85,7 @@
     );
   }
 
-  /** Waits until all recipients of keys delay a heartbeat response, too, or for 750 ms at most. */
+  /** Waits until all recipients of keys delay a heartbeat response, too, or the maximum delay has passed. */
   async awaitRecipients(daemons: readonly string[]): Promise<void> {
     await this.waitUntil(() =>
       daemons.every((daemon) => this.awaitingRecipients.has(daemon))
--- a/packages/router/src/heartbeat_server.ts
+++ b/packages/router/src/heartbeat_server.ts
@@ -21,7 +21,10 @@
 /** Keep-alive time-out in milliseconds; longer than the interval between two heartbeats. */
 const KEEP_ALIVE_TIMEOUT_MS = 30_000;
 
-/** Creates the server for heartbeats, not listening yet. Responds 400 if a heartbeat is malformed, and 503 if it is not acknowledged. */
+/**
+ * Creates the server for heartbeats, which does not listen yet. It responds with 400 to a malformed notification and
+ * with 503 to a heartbeat that is not acknowledged.
+ */
 export function createHeartbeatServer(context: {
   backendManager: BackendManager;
   protocol: BackendProtocol;
--- a/packages/router/src/ownership_leader.ts
+++ b/packages/router/src/ownership_leader.ts
@@ -1,6 +1,6 @@
 /**
- * Assigns keys without an owner, takes over the keys of lost owners, and appoints arbiters: what the leading daemon does
- * for all owners of a service.
+ * Assigns keys without an owner, takes over the keys of lost owners, and appoints arbiters: what the leading daemon
+ * does for all owners of a service.
  *
  * @module
  */
@@ -22,7 +22,9 @@
 import type { RecordInspector } from "./record_inspector.ts";
 import type { RecordWriter } from "./record_writer.ts";
 
-/** An owner is sealed when it has been unresponsive for this much longer than the time-out of the member view, in ms. */
+/**
+ * An owner is sealed when it has been unresponsive for this much longer than the time-out of the member view, in ms.
+ */
 const SEAL_DELAY_MS = 500;
 /** A daemon leads only after it has received the reports of the others for this long, in milliseconds. */
 const MIN_OBSERVATION_MS = 1_500;
@@ -76,8 +78,8 @@
   }
 
   /**
-   * Runs the due steps; called by the control loop. The leading daemon assigns keys without an owner and takes over those
-   * of lost owners; an arbiter does so, too, as soon as it may.
+   * Runs the due steps; called by the control loop. The leading daemon assigns keys without an owner and takes over
+   * those of lost owners; an arbiter does so, too, as soon as it may.
    */
   tick(): void {
     const { directory } = this.context;
@@ -187,8 +189,8 @@
   }
 
   /**
-   * The seals under which the owner's lease has certainly expired, as far as this daemon may decide it: as an arbiter or
-   * as the leader.
+   * The seals under which the owner's lease has certainly expired, as far as this daemon may decide it: as an arbiter
+   * or as the leader.
    */
   private findExpiredSeals(service: string, known: OwnershipRecord): number[] {
     const nowMs = bootMs();
--- a/packages/router/src/ownership_lease_manager.ts
+++ b/packages/router/src/ownership_lease_manager.ts
@@ -172,7 +172,9 @@
       !this.isRestored;
   }
 
-  /** Confirms the lease by a read of the record, which proves that no takeover of this daemon's keys can have finished. */
+  /**
+   * Confirms the lease by a read of the record, which proves that no takeover of this daemon's keys can have finished.
+   */
   private confirm(service: string): void {
     const nowMs = bootMs();
     const mustRelease = this.context.isReleasingKeys() && !this.canMoveKeys();
--- a/packages/router/src/ownership_lease_manager_test.ts
+++ b/packages/router/src/ownership_lease_manager_test.ts
@@ -86,7 +86,7 @@
   });
 
   describe("when the shared reader responds", () => {
-    it("confirms from the time of its request if it knows that revision, and reads the store if there is a newer one", async () => {
+    it("confirms from the time of its request, or reads the store if there is a newer revision", async () => {
       const { manager, lease } = createManager({ value: "{", revision: 8 });
       const askedAtMs = bootMs() - 300;
       manager.onSharedRead({ service: SERVICE, askedAtMs, revision: 8 });
--- a/packages/router/src/shared_reader_test.ts
+++ b/packages/router/src/shared_reader_test.ts
@@ -46,8 +46,8 @@
 
 describe("shared reader", () => {
   describe("when many owners request a read", () => {
-    // Guards against store calls that grow with the number of owners until the store refuses them: each of 98 owners read
-    // the same record on its own every 1.5 s.
+    // Guards against store calls that grow with the number of owners until the store refuses them: each of 98 owners
+    // read the same record on its own every 1.5 s.
     it("reads once, and responds to each with its own timestamp", async () => {
       const { store, reads } = createStore(0);
       const { reader, responses } = createReader(store);
@@ -70,8 +70,8 @@
   });
 
   describe("when a request arrives during a read", () => {
-    // Guards against an owner that keeps its keys after a takeover: the response to its request came from a read that had begun
-    // earlier and so returned the previous record.
+    // Guards against an owner that keeps its keys after a takeover: the response to its request came from a read that
+    // had begun earlier and so returned the previous record.
     it("responds with the next read", async () => {
       const { store, reads } = createStore(100);
       const { reader, responses } = createReader(store);
