--- a/packages/router/src/configuration_keeper.ts
+++ b/packages/router/src/configuration_manager.ts
@@ -22,24 +22,24 @@
 }
 
 /** What the keeper needs. */
-export interface ConfigurationKeeperContext {
+export interface ConfigurationManagerContext {
   readonly document: ConfigurationDocument;
   readonly logger: Logger;
-  readonly questions: PeerQuestions;
+  readonly peerClient: PeerQuestions;
   readonly onChange: (inForce: ConfigurationInForce) => void;
 }
 
 /** The configuration of one daemon. */
-export class ConfigurationKeeper {
+export class ConfigurationManager {
   private current: ConfigurationInForce | undefined;
   private isAsking = false;
   private inForceSinceMs = steadyMs();
 
-  private constructor(private readonly context: ConfigurationKeeperContext) {}
+  private constructor(private readonly context: ConfigurationManagerContext) {}
 
   /** Creates a keeper without a configuration. */
-  static create(context: ConfigurationKeeperContext): ConfigurationKeeper {
-    return new ConfigurationKeeper(context);
+  static create(context: ConfigurationManagerContext): ConfigurationManager {
+    return new ConfigurationManager(context);
   }
 
   /** The configuration in force, if there is one. */
@@ -58,7 +58,7 @@
   }
 
   /** Takes a document; one that can't be read, or is older, leaves all as it is. */
-  take(text: string, source: string): void {
+  applyDocument(text: string, source: string): void {
     const { document, logger } = this.context;
     document.decode(text).match(
       (configuration) => this.apply(configuration, { text, source }),
@@ -67,14 +67,14 @@
   }
 
   /** A daemon says which version is in force there; asks it for the document if that is newer. */
-  notePeer(report: MemberReport): void {
+  handlePeerReport(report: MemberReport): void {
     if (report.configurationVersion <= this.version || this.isAsking) {
       return;
     }
     this.isAsking = true;
-    void this.context.questions.askConfiguration(report.forwardAddress)
+    void this.context.peerClient.askConfiguration(report.forwardAddress)
       .match(
-        (text) => this.take(text, report.address),
+        (text) => this.applyDocument(text, report.address),
         (cause) =>
           this.context.logger.log("peer_question_failed", {
             peer: report.address,
--- a/packages/router/src/evacuation_keeper.ts
+++ b/packages/router/src/evacuation_manager.ts
@@ -31,10 +31,10 @@
 const HANDOVER_SHARE = 0.3;
 
 /** What daemons tell each other of evacuations. */
-export type EvacuationNews = Extract<Datagram, { kind: "evacuation" }>;
+export type EvacuationUpdate = Extract<Datagram, { kind: "evacuation" }>;
 
 /** What the keeper needs. */
-export interface EvacuationKeeperContext {
+export interface EvacuationManagerContext {
   /** Address of the own daemon, which names it to others. */
   readonly address: string;
   /** The own availability zone. */
@@ -44,17 +44,17 @@
   /** From the word of an evacuation until nothing may be sent any more, in milliseconds. */
   readonly evacuateMs: () => number;
   /** Whether any daemon is known in a zone. */
-  readonly isNamed: (zone: string) => boolean;
-  readonly tellAll: (news: EvacuationNews) => void;
-  readonly tellSome: (news: EvacuationNews) => void;
+  readonly isKnownZone: (zone: string) => boolean;
+  readonly broadcast: (news: EvacuationUpdate) => void;
+  readonly sendToSome: (news: EvacuationUpdate) => void;
   /** Asks a living daemon what it knows. */
-  readonly ask: () => void;
+  readonly requestUpdate: () => void;
   /** Called when the own zone was evacuated or taken back. */
   readonly onChange: () => void;
 }
 
 /** The evacuations as one daemon knows them. */
-export class EvacuationKeeper {
+export class EvacuationManager {
   private readonly evacuations = ZoneEvacuations.create();
   private readonly startedAtMs: number;
   private askedAtMs = -Infinity;
@@ -63,13 +63,13 @@
   private handOverUntil = Infinity;
   private wasEvacuated = false;
 
-  private constructor(private readonly context: EvacuationKeeperContext) {
+  private constructor(private readonly context: EvacuationManagerContext) {
     this.startedAtMs = context.nowMs();
   }
 
   /** Creates a keeper that has not been told anything. */
-  static create(context: EvacuationKeeperContext): EvacuationKeeper {
-    return new EvacuationKeeper(context);
+  static create(context: EvacuationManagerContext): EvacuationManager {
+    return new EvacuationManager(context);
   }
 
   /** Whether the backend server here is to get nothing. */
@@ -98,25 +98,25 @@
   }
 
   /** Takes all that the store lists; how old each evacuation is, isn't known. */
-  takeListing(state: EvacuationState): void {
+  applyListing(state: EvacuationState): void {
     this.note(this.evacuations.replace(state), { source: "store" });
   }
 
   /** Takes a change as it happens. */
-  takeChange(change: EvacuationChange): void {
+  applyChange(change: EvacuationChange): void {
     const isFresh = true;
     this.note(this.evacuations.apply(change), { source: "store", isFresh });
   }
 
   /** Takes what another daemon tells. */
-  take({ sender, revision, zones }: EvacuationNews): void {
+  applyUpdate({ sender, revision, zones }: EvacuationUpdate): void {
     this.note(this.evacuations.replace({ revision, zones }), {
       source: sender,
     });
   }
 
   /** What to answer a daemon that asks; `undefined` where nothing is known. */
-  describe(): EvacuationNews | undefined {
+  createUpdate(): EvacuationUpdate | undefined {
     const { state } = this.evacuations;
     return state === undefined ? undefined : {
       kind: "evacuation",
@@ -131,17 +131,17 @@
     const nowMs = this.context.nowMs();
     if (!this.isSettled && nowMs - this.askedAtMs >= ASK_MS) {
       this.askedAtMs = nowMs;
-      this.context.ask();
+      this.context.requestUpdate();
     }
     if (nowMs - this.retoldAtMs < RETELL_MS) {
       return;
     }
     this.retoldAtMs = nowMs;
-    const news = this.describe();
+    const news = this.createUpdate();
     const isRetold = news !== undefined &&
       (news.zones.length > 0 || nowMs - this.changedAtMs < RETOLD_FOR_MS);
     if (isRetold) {
-      this.context.tellSome(news);
+      this.context.sendToSome(news);
     }
   }
 
@@ -153,16 +153,16 @@
     if (!hasChanged || state === undefined) {
       return;
     }
-    const { nowMs, evacuateMs, logger, isNamed, onChange, tellAll } =
+    const { nowMs, evacuateMs, logger, isKnownZone, onChange, broadcast } =
       this.context;
     const { revision, zones } = state;
     this.changedAtMs = nowMs();
     logger.log("zones_evacuated", { revision, zones, source });
-    zones.filter((zone) => !isNamed(zone)).forEach((zone) =>
+    zones.filter((zone) => !isKnownZone(zone)).forEach((zone) =>
       logger.log("evacuation_of_unknown_zone", { zone, revision })
     );
     if (source === "store") {
-      tellAll(this.describe()!);
+      broadcast(this.createUpdate()!);
     }
     if (this.isEvacuated !== this.wasEvacuated) {
       this.wasEvacuated = this.isEvacuated;
--- a/packages/router/src/evacuation_keeper_test.ts
+++ b/packages/router/src/evacuation_manager_test.ts
@@ -5,26 +5,29 @@
  */
 import { Logger } from "@bamboolink/logger";
 import { expect } from "chai";
-import { EvacuationKeeper, type EvacuationNews } from "./evacuation_keeper.ts";
+import {
+  EvacuationManager,
+  type EvacuationUpdate,
+} from "./evacuation_manager.ts";
 
 const EVACUATE_MS = 5_000;
 const SECOND_MS = 1_000;
 
 function createKeeper() {
   let nowMs = 0;
-  const told: EvacuationNews[] = [];
-  const retold: EvacuationNews[] = [];
+  const told: EvacuationUpdate[] = [];
+  const retold: EvacuationUpdate[] = [];
   const counts = { asked: 0, changed: 0 };
-  const keeper = EvacuationKeeper.create({
+  const keeper = EvacuationManager.create({
     address: "own",
     zone: "a",
     logger: Logger.createBounded("test", { level: "error" }),
     nowMs: () => nowMs,
     evacuateMs: () => EVACUATE_MS,
-    isNamed: (zone) => zone !== "nowhere",
-    tellAll: (news) => told.push(news),
-    tellSome: (news) => retold.push(news),
-    ask: () => {
+    isKnownZone: (zone) => zone !== "nowhere",
+    broadcast: (news) => told.push(news),
+    sendToSome: (news) => retold.push(news),
+    requestUpdate: () => {
       counts.asked += 1;
     },
     onChange: () => {
@@ -38,13 +41,13 @@
   return { keeper, told, retold, counts, pass };
 }
 
-describe("EvacuationKeeper", () => {
+describe("EvacuationManager", () => {
   describe("when its zone is evacuated while it runs", () => {
     it("tells all others, and leaves time to hand keys over", () => {
       const { keeper, told, counts, pass } = createKeeper();
-      keeper.takeListing({ revision: 1, zones: [] });
+      keeper.applyListing({ revision: 1, zones: [] });
       pass(SECOND_MS);
-      keeper.takeChange({ revision: 2, zone: "a", isEvacuated: true });
+      keeper.applyChange({ revision: 2, zone: "a", isEvacuated: true });
       expect(keeper.isEvacuated).to.equal(true);
       expect(keeper.handOverUntilMs).to.be.within(
         SECOND_MS,
@@ -57,10 +60,10 @@
     // Guards against the time for the handover being extended by each further evacuation.
     it("leaves no more time when another zone is evacuated", () => {
       const { keeper, pass } = createKeeper();
-      keeper.takeChange({ revision: 2, zone: "a", isEvacuated: true });
+      keeper.applyChange({ revision: 2, zone: "a", isEvacuated: true });
       const untilMs = keeper.handOverUntilMs;
       pass(SECOND_MS);
-      keeper.takeChange({ revision: 3, zone: "b", isEvacuated: true });
+      keeper.applyChange({ revision: 3, zone: "b", isEvacuated: true });
       expect(keeper.handOverUntilMs).to.equal(untilMs);
     });
   });
@@ -69,9 +72,9 @@
   describe("when it learns of an evacuation of unknown age", () => {
     it("leaves no time", () => {
       const listed = createKeeper().keeper;
-      listed.takeListing({ revision: 9, zones: ["a"] });
+      listed.applyListing({ revision: 9, zones: ["a"] });
       const told = createKeeper().keeper;
-      told.take({
+      told.applyUpdate({
         kind: "evacuation",
         sender: "other",
         revision: 9,
@@ -85,8 +88,8 @@
   describe("when the zone is taken back", () => {
     it("is open again, and others that missed it are told for a while", () => {
       const { keeper, retold, counts, pass } = createKeeper();
-      keeper.takeChange({ revision: 2, zone: "a", isEvacuated: true });
-      keeper.takeChange({ revision: 3, zone: "a", isEvacuated: false });
+      keeper.applyChange({ revision: 2, zone: "a", isEvacuated: true });
+      keeper.applyChange({ revision: 3, zone: "a", isEvacuated: false });
       expect(keeper.isEvacuated).to.equal(false);
       expect(counts.changed).to.equal(2);
       pass(SECOND_MS);
@@ -106,8 +109,8 @@
       pass(SECOND_MS);
       pass(SECOND_MS);
       expect(counts.asked).to.equal(2);
-      expect(keeper.describe()).to.equal(undefined);
-      keeper.takeListing({ revision: 0, zones: [] });
+      expect(keeper.createUpdate()).to.equal(undefined);
+      keeper.applyListing({ revision: 0, zones: [] });
       expect(keeper.isSettled).to.equal(true);
     });
 
--- a/packages/router/src/gossip_node.ts
+++ b/packages/router/src/gossip_node.ts
@@ -24,7 +24,7 @@
 } from "./datagram_codec.ts";
 
 /** Time between two rounds, in milliseconds. */
-export const ROUND_MS = 500;
+export const GOSSIP_INTERVAL_MS = 500;
 /** Time between two questions for reports that are lacking, in milliseconds. */
 const ASK_MS = 200;
 /** So many daemons are told of what nearly all know: each hears it about as often from others. */
@@ -38,7 +38,7 @@
   readonly logger: Logger;
   readonly random: () => number;
   /** What the daemon says of itself now. */
-  readonly describe: () => Partial<MemberReport>;
+  readonly describeSelf: () => Partial<MemberReport>;
   /** Called with the reports that were new. */
   readonly onReports: (reports: readonly MemberReport[]) => void;
   /** Called with each datagram beside gossip. */
@@ -75,18 +75,18 @@
   }
 
   /** Tells a few daemons. */
-  round(): void {
+  runRound(): void {
     const { view, random } = this.context;
-    view.beat(this.context.describe());
+    view.beat(this.context.describeSelf());
     const targets = chooseGossipTargets(view, { nowMs: steadyMs(), random });
-    this.tell(targets);
+    this.sendGossip(targets);
   }
 
   /** Tells all living daemons at once, because something must be known soon. */
   announce(): void {
     const { view } = this.context;
-    view.beat(this.context.describe());
-    this.tell(view.alive(steadyMs()).map(({ address }) => address));
+    view.beat(this.context.describeSelf());
+    this.sendGossip(view.alive(steadyMs()).map(({ address }) => address));
   }
 
   /** Sends a datagram beside gossip to one daemon. */
@@ -95,14 +95,14 @@
   }
 
   /** Sends a datagram beside gossip to all living daemons. */
-  spread(datagram: Datagram): void {
+  broadcast(datagram: Datagram): void {
     const bytes = encodeDatagram(datagram);
     this.context.view.alive(steadyMs())
       .forEach(({ address }) => this.send(bytes, address));
   }
 
   /** Sends a datagram beside gossip to a few living daemons, others each time. */
-  spreadToSome(datagram: Datagram): void {
+  sendToSome(datagram: Datagram): void {
     const { view, random } = this.context;
     const alive = view.alive(steadyMs());
     pickSome(alive, { count: SOME, random })
@@ -114,7 +114,7 @@
     this.socket.close();
   }
 
-  private tell(addresses: readonly string[]): void {
+  private sendGossip(addresses: readonly string[]): void {
     const { view, random } = this.context;
     const sender = view.ownReport.address;
     const reports = view.chooseReports({ nowMs: steadyMs(), random });
--- a/packages/router/src/gossip_node_test.ts
+++ b/packages/router/src/gossip_node_test.ts
@@ -48,7 +48,7 @@
     view,
     logger,
     random: () => 0,
-    describe: () => ({}),
+    describeSelf: () => ({}),
     onReports: () => undefined,
     onDatagram: () => undefined,
   });
--- a/packages/router/src/ingress.ts
+++ b/packages/router/src/ingress.ts
@@ -28,8 +28,8 @@
 import { steadyMs } from "./clock.ts";
 import type {
   ConfigurationInForce,
-  ConfigurationKeeper,
-} from "./configuration_keeper.ts";
+  ConfigurationManager,
+} from "./configuration_manager.ts";
 import { hasLeft, readBody } from "./http_body.ts";
 import { selectRequestHeaders } from "./http_headers.ts";
 import type {
@@ -76,7 +76,7 @@
   readonly protocol: CallerProtocol;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  readonly configuration: ConfigurationKeeper;
+  readonly configuration: ConfigurationManager;
   readonly runner: RequestRunner;
   readonly lag: LoopLag;
   readonly random: () => number;
--- a/packages/router/src/peer_server.ts
+++ b/packages/router/src/peer_server.ts
@@ -11,7 +11,7 @@
 } from "node:http";
 import type { Logger } from "@bamboolink/logger";
 import type { Store } from "@bamboolink/store";
-import type { ConfigurationKeeper } from "./configuration_keeper.ts";
+import type { ConfigurationManager } from "./configuration_manager.ts";
 import { readBody } from "./http_body.ts";
 import type { OwnershipDirectory } from "./ownership_directory.ts";
 import {
@@ -29,7 +29,7 @@
 /** What the server needs. */
 export interface PeerServerContext {
   readonly logger: Logger;
-  readonly configuration: ConfigurationKeeper;
+  readonly configuration: ConfigurationManager;
   readonly directory: OwnershipDirectory;
   /** The store as this daemon itself reaches it. */
   readonly store: Store;
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -27,11 +27,11 @@
 import { BackendLoadTracker } from "./backend_load_tracker.ts";
 import { BackendManager } from "./backend_manager.ts";
 import { bootMs, steadyMs } from "./clock.ts";
-import { ConfigurationKeeper } from "./configuration_keeper.ts";
+import { ConfigurationManager } from "./configuration_manager.ts";
 import type { Datagram } from "./datagram_codec.ts";
-import { EvacuationKeeper } from "./evacuation_keeper.ts";
+import { EvacuationManager } from "./evacuation_manager.ts";
 import { Forwarder } from "./forwarder.ts";
-import { GossipNode, ROUND_MS, splitAddress } from "./gossip_node.ts";
+import { GOSSIP_INTERVAL_MS, GossipNode, splitAddress } from "./gossip_node.ts";
 import { createHeartbeatServer } from "./heartbeat_server.ts";
 import { HandoverCoordinator } from "./handover_coordinator.ts";
 import { Ingress } from "./ingress.ts";
@@ -112,11 +112,11 @@
   private readonly directory: OwnershipDirectory;
   private readonly reader: SharedReader;
   private readonly quarantine: RequestQuarantine;
-  private readonly evacuation: EvacuationKeeper;
+  private readonly evacuation: EvacuationManager;
   private readonly backend: LocalBackend;
   private readonly keeper: BackendManager;
   private readonly ownership: OwnershipManager;
-  private readonly configuration: ConfigurationKeeper;
+  private readonly configuration: ConfigurationManager;
   private readonly members: MemberDirectory;
   private readonly gossip: GossipNode;
   private readonly forwarder: Forwarder;
@@ -167,19 +167,19 @@
       logger,
       random,
       nowMs: steadyMs,
-      broadcast: (news) => this.gossip.spread(news),
-      sendToSome: (news) => this.gossip.spreadToSome(news),
+      broadcast: (news) => this.gossip.broadcast(news),
+      sendToSome: (news) => this.gossip.sendToSome(news),
     });
-    this.evacuation = EvacuationKeeper.create({
+    this.evacuation = EvacuationManager.create({
       address: settings.gossipAddress,
       zone: settings.availabilityZone,
       logger,
       nowMs: steadyMs,
       evacuateMs: () => this.settings.bounds.evacuateMs,
-      isNamed: (zone) => this.hasMemberIn(zone),
-      tellAll: (news) => this.gossip.spread(news),
-      tellSome: (news) => this.gossip.spreadToSome(news),
-      ask: () => this.askEvacuation(),
+      isKnownZone: (zone) => this.hasMemberIn(zone),
+      broadcast: (news) => this.gossip.broadcast(news),
+      sendToSome: (news) => this.gossip.sendToSome(news),
+      requestUpdate: () => this.askEvacuation(),
       onChange: () => this.keeper.onEvacuationChanged(),
     });
     this.backend = LocalBackend.create({
@@ -238,10 +238,10 @@
           ...question,
         }, arbiter),
     });
-    this.configuration = ConfigurationKeeper.create({
+    this.configuration = ConfigurationManager.create({
       document: ports.document,
       logger,
-      questions: this.questions,
+      peerClient: this.questions,
       onChange: ({ configuration }) => {
         this.directory.configure(configuration);
         this.ingress.setLimits(configuration.limits);
@@ -259,7 +259,7 @@
       view: this.view,
       logger,
       random,
-      describe: () => this.describe(),
+      describeSelf: () => this.describe(),
       onReports: (reports) => this.noteReports(reports),
       onDatagram: (datagram) => this.takeDatagram(datagram),
     });
@@ -356,7 +356,7 @@
     });
     this.timers.push(
       setInterval(() => this.tick(), TICK_MS),
-      setInterval(() => this.gossip.round(), ROUND_MS),
+      setInterval(() => this.gossip.runRound(), GOSSIP_INTERVAL_MS),
       setInterval(() => this.checkSettings(), SETTINGS_MS),
       setInterval(
         () => this.logLoad(),
@@ -468,7 +468,7 @@
     const nowMs = steadyMs();
     reports.forEach((report) => {
       this.board.recordLoad(report.address, report, nowMs);
-      this.configuration.notePeer(report);
+      this.configuration.handlePeerReport(report);
       if (report.ownershipRevision > this.directory.revision) {
         this.askOwnership(report.forwardAddress);
       }
@@ -513,7 +513,7 @@
         this.quarantine.applyUpdate(datagram);
         return;
       case "evacuation":
-        this.evacuation.take(datagram);
+        this.evacuation.applyUpdate(datagram);
         return;
       case "ask_evacuation":
         this.answerEvacuation(datagram.sender);
@@ -542,7 +542,7 @@
 
   private tellOwnership(service: string, record: OwnershipRecord): void {
     const text = record.encode();
-    this.gossip.spread({
+    this.gossip.broadcast({
       kind: "ownership",
       sender: this.view.ownReport.address,
       service,
@@ -659,7 +659,7 @@
         const zones = records.flatMap(({ key }) =>
           document.readEvacuatedZone(key) ?? []
         );
-        this.evacuation.takeListing({ revision, zones });
+        this.evacuation.applyListing({ revision, zones });
         records.forEach((record) => this.takeOperatorRecord(record));
       },
       onChange: (change) => {
@@ -667,7 +667,7 @@
         const zone = document.readEvacuatedZone(key);
         if (zone !== undefined) {
           const isEvacuated = value !== undefined;
-          this.evacuation.takeChange({ revision, zone, isEvacuated });
+          this.evacuation.applyChange({ revision, zone, isEvacuated });
         }
         this.takeOperatorRecord(change);
       },
@@ -678,7 +678,7 @@
     { key, value }: { key: string; value: string | undefined },
   ): void {
     if (key === this.ports.document.key && value !== undefined) {
-      this.configuration.take(value, "store");
+      this.configuration.applyDocument(value, "store");
     }
   }
 
@@ -702,7 +702,7 @@
   }
 
   private answerEvacuation(peer: string): void {
-    const news = this.evacuation.describe();
+    const news = this.evacuation.createUpdate();
     if (news !== undefined) {
       this.gossip.sendDatagram(news, peer);
     }
