--- a/packages/router/src/configuration_manager.ts
+++ b/packages/router/src/configuration_manager.ts
@@ -1,6 +1,6 @@
 /**
- * Puts the newest configuration in force that this daemon can learn of, from the store or from peers,
- * and never an older one after a newer one.
+ * Applies the newest configuration that this daemon receives from the store or from peers. The version in force never
+ * decreases.
  *
  * @module
  */
@@ -12,16 +12,16 @@
 import type { PeerQuestions } from "./peer_questions.ts";
 import type { ConfigurationDocument } from "./ports/configuration_document.ts";
 
-/** The configuration in force, ready for use. */
+/** The configuration in force, with lookups derived from it. */
 export interface ConfigurationInForce {
   readonly configuration: TrafficConfiguration;
   readonly router: PrefixRouter;
   readonly services: ReadonlyMap<string, TrafficService>;
-  /** The document as it came, for peers that can't reach the store. */
+  /** The document as received, for peers that can't reach the store. */
   readonly text: string;
 }
 
-/** What the keeper needs. */
+/** Dependencies of a configuration manager. */
 export interface ConfigurationManagerContext {
   readonly document: ConfigurationDocument;
   readonly logger: Logger;
@@ -29,15 +29,15 @@
   readonly onChange: (inForce: ConfigurationInForce) => void;
 }
 
-/** The configuration of one daemon. */
+/** Holds the configuration of one daemon. */
 export class ConfigurationManager {
   private current: ConfigurationInForce | undefined;
-  private isAsking = false;
+  private isFetching = false;
   private inForceSinceMs = steadyMs();
 
   private constructor(private readonly context: ConfigurationManagerContext) {}
 
-  /** Creates a keeper without a configuration. */
+  /** Creates a manager without a configuration. */
   static create(context: ConfigurationManagerContext): ConfigurationManager {
     return new ConfigurationManager(context);
   }
@@ -47,17 +47,21 @@
     return this.current;
   }
 
-  /** The version in force; -1 without one. */
+  /** The version in force; -1 if there is none. */
   get version(): number {
     return this.current?.configuration.version ?? -1;
   }
 
-  /** For how long the version has been in force, or there has been none, in milliseconds. */
+  /** How long the version has been in force, or how long there has been none, in milliseconds. */
   ageMs(nowMs: number): number {
     return nowMs - this.inForceSinceMs;
   }
 
-  /** Takes a document; one that can't be read, or is older, leaves all as it is. */
+  /**
+   * Applies a document if its version is newer. One that can't be decoded is logged and ignored.
+   *
+   * @param source where the document came from, for the log: `store` or a peer's address.
+   */
   applyDocument(text: string, source: string): void {
     const { document, logger } = this.context;
     document.decode(text).match(
@@ -66,12 +70,12 @@
     );
   }
 
-  /** A daemon says which version is in force there; asks it for the document if that is newer. */
+  /** Fetches the document from a peer if its report shows a newer version; only one fetch runs at a time. */
   handlePeerReport(report: MemberReport): void {
-    if (report.configurationVersion <= this.version || this.isAsking) {
+    if (report.configurationVersion <= this.version || this.isFetching) {
       return;
     }
-    this.isAsking = true;
+    this.isFetching = true;
     void this.context.peerClient.askConfiguration(report.forwardAddress)
       .match(
         (text) => this.applyDocument(text, report.address),
@@ -82,7 +86,7 @@
           }),
       )
       .finally(() => {
-        this.isAsking = false;
+        this.isFetching = false;
       });
   }
 
--- a/packages/router/src/datagram_codec.ts
+++ b/packages/router/src/datagram_codec.ts
@@ -1,5 +1,5 @@
 /**
- * The datagrams that daemons send each other beside gossip.
+ * Encodes and decodes the datagrams that daemons send each other, other than gossip.
  *
  * @module
  */
@@ -8,8 +8,8 @@
 import { err, ok, type Result } from "neverthrow";
 import { z } from "zod";
 
-/** A newer record of ownership; without its text it is to be asked for. */
-const OwnershipNews = z.object({
+/** Announces a newer ownership record; if the text is absent, the receiver fetches it. */
+const OwnershipUpdate = z.object({
   kind: z.literal("ownership"),
   sender: z.string(),
   service: z.string(),
@@ -17,64 +17,67 @@
   text: z.string().optional(),
 });
 
-/** First key, last key, and the work they bring, in milliseconds of a slot a second. */
+/** First key, last key, and the load of the range, in milliseconds of slot time per second. */
 const ExpectedRange = z.tuple([
   z.int().min(0),
   z.int().min(0),
   z.number().min(0),
 ]);
 
-/** Keys are about to be handed over to the receiver's backend server. */
-const HandoverExpected = z.object({
+/** Announces that these keys will be handed over to the receiver's backend server. */
+const PlannedHandover = z.object({
   kind: z.literal("expect"),
   sender: z.string(),
   ranges: z.array(ExpectedRange),
 });
 
-/** The receiver of such a word holds back the answer to a heartbeat, so that it can grant at once. */
+/**
+ * Sent in return by the recipient of the keys: it delays the response to a heartbeat of its backend server, so that it
+ * can grant the keys as soon as they are released.
+ */
 const HandoverAwaited = z.object({
   kind: z.literal("awaiting"),
   sender: z.string(),
 });
 
-/** An owner asks an arbiter not to take it over for a while. */
-const PromiseQuestion = z.object({
+/** An owner requests an arbiter's promise not to take over its keys for a limited time. */
+const PromiseRequest = z.object({
   kind: z.literal("ask_promise"),
   sender: z.string(),
   service: z.string(),
-  /** The owner's clock, in milliseconds; comes back with the promise. */
+  /** The owner's clock, in milliseconds; the promise repeats it. */
   askedAtMs: z.number(),
-  /** Revision of the record by which the owner last confirmed its tenure. */
+  /** Revision of the record with which the owner last confirmed its ownership lease. */
   confirmedRevision: z.int(),
 });
 
-/** The arbiter promises. */
-const TenurePromise = z.object({
+/** An arbiter's promise, in response to a request for one. */
+const LeasePromise = z.object({
   kind: z.literal("promise"),
   sender: z.string(),
   service: z.string(),
   askedAtMs: z.number(),
 });
 
-/** The receiver has told of daemons that the sender has heard no report of. */
-const ReportQuestion = z.object({
+/** Requests reports of daemons that the receiver's gossip contained and of which the sender has no report. */
+const ReportRequest = z.object({
   kind: z.literal("ask_reports"),
   sender: z.string(),
-  /** Hashes of their addresses. */
+  /** Hashes of the daemons' addresses. */
   names: z.array(z.int().min(0)),
 });
 
-/** An owner asks the daemon that reads for all what the store holds. */
-const SharedReadQuestion = z.object({
+/** An owner asks the shared reader for the revision of its service's record in the store. */
+const SharedReadRequest = z.object({
   kind: z.literal("ask_read"),
   sender: z.string(),
   service: z.string(),
-  /** The owner's clock, in milliseconds; comes back with the answer. */
+  /** The owner's clock, in milliseconds; the response repeats it. */
   askedAtMs: z.number(),
 });
 
-/** What the store held after the question had arrived. */
-const SharedReadAnswer = z.object({
+/** The shared reader's response: the revision that it read after the request had arrived. */
+const SharedReadResponse = z.object({
   kind: z.literal("read"),
   sender: z.string(),
   service: z.string(),
@@ -82,14 +85,14 @@
   revision: z.int().min(0),
 });
 
-/** Names a request by what it asks. */
+/** Identifies a request by its content. */
 const Fingerprint = z.string().min(1).max(64);
 
-/** Servers ended under these requests. */
+/** Reports requests under which backend servers crashed. */
 const CrashReports = z.object({
   kind: z.literal("crash_reports"),
   sender: z.string(),
-  /** Each with the names of the ends, the number of quarantines, and what is left of the last, in milliseconds. */
+  /** Each with the ids of the crashes, the number of quarantines, and the rest of the last one, in milliseconds. */
   suspected: z.array(
     z.tuple([
       Fingerprint,
@@ -100,14 +103,14 @@
   ),
 });
 
-/** These requests were answered: no server ends under them. */
+/** Reports that these requests were answered and so do not crash backend servers. */
 const RequestsCleared = z.object({
   kind: z.literal("cleared"),
   sender: z.string(),
   fingerprints: z.array(Fingerprint),
 });
 
-/** These availability zones are evacuated, as of a revision of the store. */
+/** The evacuated availability zones as of a revision of the store. */
 const ZonesEvacuated = z.object({
   kind: z.literal("evacuation"),
   sender: z.string(),
@@ -115,62 +118,61 @@
   zones: z.array(z.string()).max(256),
 });
 
-/** The sender has not learned yet which zones are evacuated. */
-const EvacuationQuestion = z.object({
+/** Requests the evacuated availability zones, which the sender does not know yet. */
+const EvacuationRequest = z.object({
   kind: z.literal("ask_evacuation"),
   sender: z.string(),
 });
 
 const Datagram = z.discriminatedUnion("kind", [
   ZonesEvacuated,
-  EvacuationQuestion,
+  EvacuationRequest,
   CrashReports,
   RequestsCleared,
-  SharedReadQuestion,
-  SharedReadAnswer,
-  ReportQuestion,
-  OwnershipNews,
-  HandoverExpected,
+  SharedReadRequest,
+  SharedReadResponse,
+  ReportRequest,
+  OwnershipUpdate,
+  PlannedHandover,
   HandoverAwaited,
-  PromiseQuestion,
-  TenurePromise,
+  PromiseRequest,
+  LeasePromise,
 ]);
-/** A datagram beside gossip. */
+/** A datagram that is not gossip. */
 export type Datagram = z.infer<typeof Datagram>;
 
-/** Gossip begins with the byte of a list, these with the byte of a map. */
-const LARGEST_LIST_BYTE = 0x9f;
-const SMALLEST_LIST_BYTE = 0x90;
+/** Gossip begins with the MessagePack tag of a short array (fixarray), other datagrams with that of a map. */
+const MAX_FIXARRAY_BYTE = 0x9f;
+const MIN_FIXARRAY_BYTE = 0x90;
 
 /** Whether a datagram is gossip. */
 export function isGossip(bytes: Uint8Array): boolean {
   const first = bytes[0] ?? 0;
-  return first >= SMALLEST_LIST_BYTE && first <= LARGEST_LIST_BYTE;
+  return first >= MIN_FIXARRAY_BYTE && first <= MAX_FIXARRAY_BYTE;
 }
 
-/** Encodes a datagram. */
 export function encodeDatagram(datagram: Datagram): Uint8Array {
   return encode(datagram, { ignoreUndefined: true });
 }
 
-/** Decodes a datagram; anybody can send one, so nothing in it is taken on trust. */
+/** Decodes and validates a datagram from an untrusted sender; returns an `invalid` error if its form is wrong. */
 export function decodeDatagram(
   bytes: Uint8Array,
 ): Result<Datagram, BamboolinkError> {
-  const checked = Datagram.safeParse(tryDecode(bytes));
+  const checked = Datagram.safeParse(decodeOrUndefined(bytes));
   return checked.success ? ok(checked.data) : err(
-    BamboolinkError.create("invalid", "a datagram can't be read", {
+    BamboolinkError.create("invalid", "malformed datagram", {
       step: "datagram.decode",
       cause: checked.error,
     }),
   );
 }
 
-function tryDecode(bytes: Uint8Array): unknown {
+function decodeOrUndefined(bytes: Uint8Array): unknown {
   try {
     return decode(bytes);
   } catch {
-    // The schema refuses `undefined`, and the error then says what was expected.
+    // The schema rejects `undefined` with an error that states what was expected.
     return undefined;
   }
 }
--- a/packages/router/src/evacuation_manager.ts
+++ b/packages/router/src/evacuation_manager.ts
@@ -1,5 +1,5 @@
 /**
- * Follows which availability zones operators have evacuated, by the store and by other daemons.
+ * Tracks which availability zones operators have evacuated, from the store and from other daemons.
  *
  * @module
  */
@@ -11,111 +11,121 @@
 } from "@bamboolink/traffic";
 import type { Datagram } from "./datagram_codec.ts";
 
-/** Time between two questions to other daemons while nothing is known, in milliseconds. */
-const ASK_MS = 200;
-/** Time between two retellings of what is evacuated, in milliseconds. */
-const RETELL_MS = 1_000;
-/** A change is retold for so long, in milliseconds: a daemon may have missed that a zone was taken back. */
-const RETOLD_FOR_MS = 60_000;
+/** Interval between requests to other daemons while the evacuated zones are unknown, in milliseconds. */
+const UPDATE_REQUEST_INTERVAL_MS = 200;
+/** Interval between repeated updates to other daemons, in milliseconds. */
+const REPEAT_INTERVAL_MS = 1_000;
 /**
- * A daemon that can't learn for so long what is evacuated, in milliseconds, works as if nothing was: else a fleet that
- * starts while the store is away would serve nobody.
+ * How long updates are repeated after a change, in milliseconds: a daemon may have missed that an evacuation was
+ * cleared.
  */
-const LONGEST_UNKNOWN_MS = 3_000;
-/** An acknowledgement of a heartbeat may be held back so long, in milliseconds; its sender waits for a second. */
-const LONGEST_HOLD_BACK_MS = 800;
+const REPEAT_PERIOD_MS = 60_000;
 /**
- * Share of the evacuation's bound in which keys are handed over and waiting requests still run; the rest is for the news
- * of it, and for the way to the backend server.
+ * A daemon that can't learn the evacuated zones within this time, in milliseconds, continues as if none were evacuated.
+ * Otherwise a fleet that starts while the store is unreachable would serve no requests.
+ */
+const MAX_UNKNOWN_MS = 3_000;
+/** Maximum delay of a heartbeat's acknowledgement, in milliseconds; its sender waits for a second. */
+const MAX_HOLD_BACK_MS = 800;
+/**
+ * Share of the evacuation's time limit in which keys are handed over and waiting requests still run. The rest is for
+ * propagating the evacuation to other daemons, and for the way to the backend server.
  */
 const HANDOVER_SHARE = 0.3;
 
-/** What daemons tell each other of evacuations. */
+/** The datagram that carries the evacuated zones. */
 export type EvacuationUpdate = Extract<Datagram, { kind: "evacuation" }>;
 
-/** What the keeper needs. */
+/** Dependencies of an evacuation manager. */
 export interface EvacuationManagerContext {
-  /** Address of the own daemon, which names it to others. */
+  /** Address that identifies this daemon to others. */
   readonly address: string;
-  /** The own availability zone. */
+  /** This daemon's availability zone. */
   readonly zone: string;
   readonly logger: Logger;
   readonly nowMs: () => number;
-  /** From the word of an evacuation until nothing may be sent any more, in milliseconds. */
+  /** Time from the notice of an evacuation until nothing more may be sent to the zone, in milliseconds. */
   readonly evacuateMs: () => number;
-  /** Whether any daemon is known in a zone. */
+  /** Whether any known daemon is in a zone. */
   readonly isKnownZone: (zone: string) => boolean;
-  readonly broadcast: (news: EvacuationUpdate) => void;
-  readonly sendToSome: (news: EvacuationUpdate) => void;
-  /** Asks a living daemon what it knows. */
+  /** Sends an update to all alive daemons. */
+  readonly broadcast: (update: EvacuationUpdate) => void;
+  /** Sends an update to a few alive daemons. */
+  readonly sendToSome: (update: EvacuationUpdate) => void;
+  /** Requests an update from an alive daemon. */
   readonly requestUpdate: () => void;
-  /** Called when the own zone was evacuated or taken back. */
+  /** Called when this daemon's zone was evacuated or its evacuation was cleared. */
   readonly onChange: () => void;
 }
 
-/** The evacuations as one daemon knows them. */
+/** The evacuated zones as known to one daemon. */
 export class EvacuationManager {
   private readonly evacuations = ZoneEvacuations.create();
   private readonly startedAtMs: number;
-  private askedAtMs = -Infinity;
-  private retoldAtMs = -Infinity;
+  private requestedAtMs = -Infinity;
+  private repeatedAtMs = -Infinity;
   private changedAtMs = -Infinity;
-  private handOverUntil = Infinity;
+  private handOverDeadlineMs = Infinity;
   private wasEvacuated = false;
 
   private constructor(private readonly context: EvacuationManagerContext) {
     this.startedAtMs = context.nowMs();
   }
 
-  /** Creates a keeper that has not been told anything. */
+  /** Creates a manager that does not know the evacuated zones yet. */
   static create(context: EvacuationManagerContext): EvacuationManager {
     return new EvacuationManager(context);
   }
 
-  /** Whether the backend server here is to get nothing. */
+  /** Whether this daemon's zone is evacuated, so that its backend server must receive nothing. */
   get isEvacuated(): boolean {
     return this.evacuations.has(this.context.zone);
   }
 
-  /** Until when keys are handed over and waiting requests run, on the steady clock. */
+  /** Until when keys are handed over and waiting requests still run, in milliseconds on the steady clock. */
   get handOverUntilMs(): number {
-    return this.handOverUntil;
+    return this.handOverDeadlineMs;
   }
 
-  /** Whether it is known what is evacuated, or can't be for now. */
+  /** Whether the evacuated zones are known, or the time to learn them has run out. */
   get isSettled(): boolean {
     return this.evacuations.isKnown ||
-      this.context.nowMs() - this.startedAtMs > LONGEST_UNKNOWN_MS;
+      this.context.nowMs() - this.startedAtMs > MAX_UNKNOWN_MS;
   }
 
-  /** Waits until it is known what is evacuated; returns whether that is so. */
+  /** Waits a limited time until `isSettled`; returns whether it is. */
   async awaitSettled(): Promise<boolean> {
-    const untilMs = this.context.nowMs() + LONGEST_HOLD_BACK_MS;
-    while (!this.isSettled && this.context.nowMs() < untilMs) {
-      await new Promise((resolve) => setTimeout(resolve, ASK_MS / 4));
+    const deadlineMs = this.context.nowMs() + MAX_HOLD_BACK_MS;
+    while (!this.isSettled && this.context.nowMs() < deadlineMs) {
+      await new Promise((resolve) =>
+        setTimeout(resolve, UPDATE_REQUEST_INTERVAL_MS / 4)
+      );
     }
     return this.isSettled;
   }
 
-  /** Takes all that the store lists; how old each evacuation is, isn't known. */
+  /** Applies a full listing of the store, in which the age of each evacuation is unknown. */
   applyListing(state: EvacuationState): void {
-    this.note(this.evacuations.replace(state), { source: "store" });
+    this.handleChange(this.evacuations.replace(state), { source: "store" });
   }
 
-  /** Takes a change as it happens. */
+  /** Applies a change that the store has just notified. */
   applyChange(change: EvacuationChange): void {
-    const isFresh = true;
-    this.note(this.evacuations.apply(change), { source: "store", isFresh });
+    const isRecent = true;
+    this.handleChange(this.evacuations.apply(change), {
+      source: "store",
+      isRecent,
+    });
   }
 
-  /** Takes what another daemon tells. */
+  /** Applies an update of another daemon, in which the age of each evacuation is unknown. */
   applyUpdate({ sender, revision, zones }: EvacuationUpdate): void {
-    this.note(this.evacuations.replace({ revision, zones }), {
+    this.handleChange(this.evacuations.replace({ revision, zones }), {
       source: sender,
     });
   }
 
-  /** What to answer a daemon that asks; `undefined` where nothing is known. */
+  /** Creates an update for other daemons; `undefined` if the evacuated zones are unknown. */
   createUpdate(): EvacuationUpdate | undefined {
     const { state } = this.evacuations;
     return state === undefined ? undefined : {
@@ -126,28 +136,32 @@
     };
   }
 
-  /** Asks while nothing is known, and retells what others may have missed. */
+  /** Requests an update while the evacuated zones are unknown, and repeats updates that others may have missed. */
   tick(): void {
     const nowMs = this.context.nowMs();
-    if (!this.isSettled && nowMs - this.askedAtMs >= ASK_MS) {
-      this.askedAtMs = nowMs;
+    if (
+      !this.isSettled &&
+      nowMs - this.requestedAtMs >= UPDATE_REQUEST_INTERVAL_MS
+    ) {
+      this.requestedAtMs = nowMs;
       this.context.requestUpdate();
     }
-    if (nowMs - this.retoldAtMs < RETELL_MS) {
+    if (nowMs - this.repeatedAtMs < REPEAT_INTERVAL_MS) {
       return;
     }
-    this.retoldAtMs = nowMs;
-    const news = this.createUpdate();
-    const isRetold = news !== undefined &&
-      (news.zones.length > 0 || nowMs - this.changedAtMs < RETOLD_FOR_MS);
-    if (isRetold) {
-      this.context.sendToSome(news);
+    this.repeatedAtMs = nowMs;
+    const update = this.createUpdate();
+    const mustRepeat = update !== undefined &&
+      (update.zones.length > 0 ||
+        nowMs - this.changedAtMs < REPEAT_PERIOD_MS);
+    if (mustRepeat) {
+      this.context.sendToSome(update);
     }
   }
 
-  private note(
+  private handleChange(
     hasChanged: boolean,
-    { source, isFresh = false }: { source: string; isFresh?: boolean },
+    { source, isRecent = false }: { source: string; isRecent?: boolean },
   ): void {
     const { state } = this.evacuations;
     if (!hasChanged || state === undefined) {
@@ -166,7 +180,7 @@
     }
     if (this.isEvacuated !== this.wasEvacuated) {
       this.wasEvacuated = this.isEvacuated;
-      this.handOverUntil = isFresh
+      this.handOverDeadlineMs = isRecent
         ? nowMs() + evacuateMs() * HANDOVER_SHARE
         : -Infinity;
       onChange();
--- a/packages/router/src/gossip_node.ts
+++ b/packages/router/src/gossip_node.ts
@@ -1,7 +1,7 @@
 /**
- * Exchanges gossip with other daemons by datagrams.
+ * Exchanges gossip with other daemons over UDP.
  *
- * Datagrams have no connections that could go silent, and a lost one is made up for by the next round.
+ * Datagrams need no connections, which could become unresponsive, and the next round makes up for a lost datagram.
  *
  * @module
  */
@@ -23,41 +23,44 @@
   isGossip,
 } from "./datagram_codec.ts";
 
-/** Time between two rounds, in milliseconds. */
+/** Interval between gossip rounds, in milliseconds. */
 export const GOSSIP_INTERVAL_MS = 500;
-/** Time between two questions for reports that are lacking, in milliseconds. */
-const ASK_MS = 200;
-/** So many daemons are told of what nearly all know: each hears it about as often from others. */
-const SOME = 2;
-const LARGEST_PORT = 65_535;
+/** Minimum interval between requests for missing reports, in milliseconds. */
+const REPORT_REQUEST_INTERVAL_MS = 200;
+/**
+ * Number of daemons that receive a repeated datagram, which nearly all know already. Each daemon repeats it to as many,
+ * so each also receives it about as often.
+ */
+const SUBSET_SIZE = 2;
+const MAX_PORT = 65_535;
 
-/** What the node needs. */
+/** Dependencies of a gossip node. */
 export interface GossipNodeContext {
   readonly address: string;
   readonly view: MemberView;
   readonly logger: Logger;
   readonly random: () => number;
-  /** What the daemon says of itself now. */
+  /** Returns the current values of this daemon's own report. */
   readonly describeSelf: () => Partial<MemberReport>;
-  /** Called with the reports that were new. */
+  /** Called with reports that are newer than the known ones. */
   readonly onReports: (reports: readonly MemberReport[]) => void;
-  /** Called with each datagram beside gossip. */
+  /** Called with each datagram that is not gossip. */
   readonly onDatagram: (datagram: Datagram) => void;
 }
 
-/** One daemon's end of the gossip. */
+/** Sends and receives one daemon's gossip and other datagrams. */
 export class GossipNode {
   private readonly socket: Socket = createSocket("udp4");
-  private askedAtMs = -Infinity;
+  private requestedAtMs = -Infinity;
 
   private constructor(private readonly context: GossipNodeContext) {}
 
-  /** Creates a node that does not listen yet. */
+  /** Creates a node that is not listening yet. */
   static create(context: GossipNodeContext): GossipNode {
     return new GossipNode(context);
   }
 
-  /** Begins to listen. */
+  /** Starts listening. Rejects if the address can't be bound. */
   start(): Promise<void> {
     const { host, port } = splitAddress(this.context.address);
     this.socket.on("message", (bytes) => this.receive(bytes));
@@ -74,7 +77,7 @@
     });
   }
 
-  /** Tells a few daemons. */
+  /** Sends gossip to a few daemons. */
   runRound(): void {
     const { view, random } = this.context;
     view.beat(this.context.describeSelf());
@@ -82,34 +85,33 @@
     this.sendGossip(targets);
   }
 
-  /** Tells all living daemons at once, because something must be known soon. */
+  /** Sends gossip to all alive daemons at once, for changes that others must know soon. */
   announce(): void {
     const { view } = this.context;
     view.beat(this.context.describeSelf());
     this.sendGossip(view.alive(steadyMs()).map(({ address }) => address));
   }
 
-  /** Sends a datagram beside gossip to one daemon. */
+  /** Sends a datagram that is not gossip to one daemon. */
   sendDatagram(datagram: Datagram, address: string): void {
     this.send(encodeDatagram(datagram), address);
   }
 
-  /** Sends a datagram beside gossip to all living daemons. */
+  /** Sends a datagram that is not gossip to all alive daemons. */
   broadcast(datagram: Datagram): void {
     const bytes = encodeDatagram(datagram);
     this.context.view.alive(steadyMs())
       .forEach(({ address }) => this.send(bytes, address));
   }
 
-  /** Sends a datagram beside gossip to a few living daemons, others each time. */
+  /** Sends a datagram that is not gossip to a few alive daemons, chosen at random each time. */
   sendToSome(datagram: Datagram): void {
     const { view, random } = this.context;
     const alive = view.alive(steadyMs());
-    pickSome(alive, { count: SOME, random })
+    pickSome(alive, { count: SUBSET_SIZE, random })
       .forEach(({ address }) => this.sendDatagram(datagram, address));
   }
 
-  /** Stops. */
   close(): void {
     this.socket.close();
   }
@@ -123,7 +125,7 @@
     addresses.forEach((address) => this.send(bytes, address));
   }
 
-  /** Addresses come from the store and from datagrams, so anything may stand there. */
+  /** Addresses come from the store and from datagrams, so they may be invalid. */
   private send(bytes: Uint8Array, address: string): void {
     const { host, port } = splitAddress(address);
     if (!isAddress(address)) {
@@ -143,7 +145,7 @@
       decodeDatagram(bytes).match(
         (datagram) =>
           datagram.kind === "ask_reports"
-            ? this.answerReports(datagram.sender, datagram.names)
+            ? this.sendReports(datagram.sender, datagram.names)
             : onDatagram(datagram),
         (cause) => logger.log("gossip_malformed", { cause }),
       );
@@ -155,10 +157,10 @@
           logger.log("gossip_malformed", { peer: sender, left_out: leftOut });
         }
         const nowMs = steadyMs();
-        const fresh = view.merge(reports, nowMs);
-        this.askReports(sender, view.mergeBeats(beats, nowMs));
-        if (fresh.length > 0) {
-          onReports(fresh);
+        const newReports = view.merge(reports, nowMs);
+        this.requestReports(sender, view.mergeBeats(beats, nowMs));
+        if (newReports.length > 0) {
+          onReports(newReports);
         }
       },
       (cause) => logger.log("gossip_malformed", { cause }),
@@ -166,20 +168,23 @@
   }
 
   /**
-   * Asks for reports that are lacking. Left to chance, a daemon that starts among 195 had not heard of all of them
-   * after 10 s.
+   * Requests missing reports. Without such requests, a daemon that started in a fleet of 195 still lacked reports of
+   * some daemons after 10 s.
    */
-  private askReports(peer: string, names: number[]): void {
+  private requestReports(peer: string, names: number[]): void {
     const nowMs = steadyMs();
-    if (names.length === 0 || nowMs - this.askedAtMs < ASK_MS) {
+    if (
+      names.length === 0 ||
+      nowMs - this.requestedAtMs < REPORT_REQUEST_INTERVAL_MS
+    ) {
       return;
     }
-    this.askedAtMs = nowMs;
+    this.requestedAtMs = nowMs;
     const sender = this.context.view.ownReport.address;
     this.sendDatagram({ kind: "ask_reports", sender, names }, peer);
   }
 
-  private answerReports(peer: string, names: readonly number[]): void {
+  private sendReports(peer: string, names: readonly number[]): void {
     const { view } = this.context;
     const reports = view.findReports(names);
     const sender = view.ownReport.address;
@@ -187,7 +192,7 @@
   }
 }
 
-/** Splits `HOST:PORT`. */
+/** Splits `HOST:PORT`; does not validate it. */
 export function splitAddress(address: string): { host: string; port: number } {
   const colon = address.lastIndexOf(":");
   return {
@@ -197,11 +202,11 @@
 }
 
 /**
- * Whether a text is `HOST:PORT`. What goes wrong without it: a socket throws at a port that is none, and the process
- * ends, because somebody has written or sent an address that is none.
+ * Whether a text is `HOST:PORT` with a valid port. A socket throws if the port is invalid, which would end the process,
+ * so an invalid address in the store or in a datagram must be rejected first.
  */
 export function isAddress(text: string): boolean {
   const { host, port } = splitAddress(text);
   return host !== "" && Number.isInteger(port) && port > 0 &&
-    port <= LARGEST_PORT;
+    port <= MAX_PORT;
 }
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -1,5 +1,5 @@
 /**
- * Puts the parts of the router together.
+ * Composes the router from its parts and runs its lifecycle: start, control loop, settings reload and graceful stop.
  *
  * @module
  */
@@ -64,28 +64,28 @@
 } from "./shared_reader.ts";
 import { StoreWatcher } from "./store_watcher.ts";
 
-/** Time between two steps of the control loop, in milliseconds. */
-const TICK_MS = 50;
-/** Time between two lines of the log on how busy the backend server is, in milliseconds. */
-const LOAD_LINE_MS = 2_000;
-/** Time between two looks at the settings, in milliseconds. */
-const SETTINGS_MS = 1_000;
+/** Interval of the control loop, in milliseconds. */
+const TICK_INTERVAL_MS = 50;
+/** Interval between log lines on the load of the backend server, in milliseconds. */
+const LOAD_LOG_INTERVAL_MS = 2_000;
+/** Interval between checks for changed settings, in milliseconds. */
+const SETTINGS_CHECK_INTERVAL_MS = 1_000;
 /**
- * After the request to stop, how long requests are taken as before, in milliseconds: until then those
- * who asked for readiness have been told twice that there is none.
+ * How long requests are still accepted as before after a stop was requested, in milliseconds. By then, each client that
+ * polls readiness has been told twice that the router is not ready.
  */
-const LEAVE_MS = 2_300;
-/** Time kept for closing before the process would be killed, in milliseconds. */
-const CLOSING_MS = 700;
+const PRE_STOP_DELAY_MS = 2_300;
+/** Part of the grace period that is reserved for closing, before the process would be killed, in milliseconds. */
+const CLOSE_RESERVE_MS = 700;
 /**
- * Records up to this size travel with the news of them, in bytes. Larger ones are asked for, by all
- * daemons at once; a datagram of a few pieces is cheaper, and one that is lost is asked for, too.
+ * Records up to this size, in bytes, are included in the datagram that announces them. Larger ones are fetched, by all
+ * daemons at once. A datagram of a few IP fragments costs less, and if it is lost, the record is fetched, too.
  */
-const LARGEST_NEWS_BYTES = 4_096;
-/** The health check of a service that no configuration names. */
-const USUAL_HEALTH_PATH = "/healthz";
+const MAX_INLINE_RECORD_BYTES = 4_096;
+/** Path of the health check for services that the configuration does not contain. */
+const DEFAULT_HEALTH_PATH = "/healthz";
 
-/** What the router meets outside, each through its port. */
+/** The router's dependencies on its platform. */
 export interface RouterPorts {
   readonly settings: SettingsSource;
   readonly createStore: (address: string) => Store;
@@ -96,42 +96,42 @@
   readonly random: () => number;
 }
 
-/** The router beside one backend server. */
+/** The router of one host: routes its callers' requests and manages its backend server. */
 export class Router {
   private readonly metrics = Metrics.create();
   private readonly grants = GrantTracker.create(bootMs());
-  private readonly tenure = OwnershipLease.create(bootMs());
-  private readonly board = BackendLoadTracker.create();
-  private readonly questions = PeerQuestions.create();
-  private readonly desk = HandoverCoordinator.create();
-  private readonly lag = LoopLag.create(TICK_MS, steadyMs);
+  private readonly lease = OwnershipLease.create(bootMs());
+  private readonly loadTracker = BackendLoadTracker.create();
+  private readonly peerClient = PeerQuestions.create();
+  private readonly handoverCoordinator = HandoverCoordinator.create();
+  private readonly lag = LoopLag.create(TICK_INTERVAL_MS, steadyMs);
   private readonly logger: Logger;
   private readonly directStore: Store;
   private readonly store: RelayedStore;
   private readonly view: MemberView;
   private readonly directory: OwnershipDirectory;
-  private readonly reader: SharedReader;
+  private readonly sharedReader: SharedReader;
   private readonly quarantine: RequestQuarantine;
   private readonly evacuation: EvacuationManager;
   private readonly backend: LocalBackend;
-  private readonly keeper: BackendManager;
+  private readonly backendManager: BackendManager;
   private readonly ownership: OwnershipManager;
   private readonly configuration: ConfigurationManager;
   private readonly members: MemberDirectory;
   private readonly gossip: GossipNode;
   private readonly forwarder: Forwarder;
-  private readonly budget: FleetRetryBudget;
+  private readonly retryBudget: FleetRetryBudget;
   private readonly ingress: Ingress;
   private readonly linkServer: LinkServer;
   private readonly peerServer: PeerServer;
   private readonly peerConnections: ServerConnections;
-  private readonly heartbeats: Server;
-  private readonly readiness: Server;
+  private readonly heartbeatServer: Server;
+  private readonly readinessServer: Server;
   private readonly watcher: StoreWatcher;
   private readonly timers: NodeJS.Timeout[] = [];
   private settingsVersion: string;
-  private isAskingOwnership = false;
-  private isLeaving = false;
+  private isFetchingOwnership = false;
+  private isStopRequested = false;
   private isStopping = false;
 
   private constructor(
@@ -145,9 +145,9 @@
     this.view = MemberView.create(createOwnReport(settings));
     this.store = RelayedStore.create({
       direct: this.directStore,
-      peerClient: this.questions,
+      peerClient: this.peerClient,
       logger,
-      findRelay: () => this.findHelper(),
+      findRelay: () => this.findRelay(),
       onRolledBack: () => this.restoreMembers(),
     });
     this.directory = OwnershipDirectory.create(logger);
@@ -156,19 +156,20 @@
       directory: this.directory,
       era: () => this.store.era,
     });
-    this.reader = SharedReader.create({
+    this.sharedReader = SharedReader.create({
       store: this.directStore,
       logger,
       inspector,
-      onResponse: (owner, answer) => this.answerRead(owner, answer),
+      onResponse: (owner, response) =>
+        this.sendSharedReadResponse(owner, response),
     });
     this.quarantine = RequestQuarantine.create({
       address: settings.gossipAddress,
       logger,
       random,
       nowMs: steadyMs,
-      broadcast: (news) => this.gossip.broadcast(news),
-      sendToSome: (news) => this.gossip.sendToSome(news),
+      broadcast: (update) => this.gossip.broadcast(update),
+      sendToSome: (update) => this.gossip.sendToSome(update),
     });
     this.evacuation = EvacuationManager.create({
       address: settings.gossipAddress,
@@ -177,10 +178,10 @@
       nowMs: steadyMs,
       evacuateMs: () => this.settings.bounds.evacuateMs,
       isKnownZone: (zone) => this.hasMemberIn(zone),
-      broadcast: (news) => this.gossip.broadcast(news),
-      sendToSome: (news) => this.gossip.sendToSome(news),
-      requestUpdate: () => this.askEvacuation(),
-      onChange: () => this.keeper.onEvacuationChanged(),
+      broadcast: (update) => this.gossip.broadcast(update),
+      sendToSome: (update) => this.gossip.sendToSome(update),
+      requestUpdate: () => this.requestEvacuationState(),
+      onChange: () => this.backendManager.onEvacuationChanged(),
     });
     this.backend = LocalBackend.create({
       address: settings.backendAddress,
@@ -188,13 +189,14 @@
       logger,
       grants: this.grants,
       quarantine: this.quarantine,
-      onSuspicion: (suspicion) => void this.keeper.handleSuspicion(suspicion),
+      onSuspicion: (suspicion) =>
+        void this.backendManager.handleSuspicion(suspicion),
     });
-    this.keeper = BackendManager.create({
+    this.backendManager = BackendManager.create({
       logger,
       backend: this.backend,
       grants: this.grants,
-      lease: this.tenure,
+      lease: this.lease,
       evacuation: this.evacuation,
       drainMs: () => this.settings.bounds.drainMs,
       probe: (service) =>
@@ -202,7 +204,7 @@
           protocol: ports.backends,
           healthPath:
             this.configuration.inForce?.services.get(service)?.healthPath ??
-              USUAL_HEALTH_PATH,
+              DEFAULT_HEALTH_PATH,
         }),
       isKeyed: (service) => this.directory.isKeyed(service),
       isConfigured: (service) =>
@@ -214,7 +216,7 @@
       onFreed: (freed) => this.ownership.handleFreed(freed),
       beforeDrain: () => this.ownership.releaseAll(),
       onProcessEnded: (end) => this.quarantine.recordBackendEnd(end),
-      beforeGrant: () => this.meetHandovers(),
+      beforeGrant: () => this.awaitHandovers(),
     });
     this.ownership = OwnershipManager.create({
       store: this.store,
@@ -223,25 +225,27 @@
       directory: this.directory,
       inspector,
       grants: this.grants,
-      lease: this.tenure,
+      lease: this.lease,
       backend: this.backend,
-      backendManager: () => this.keeper,
-      handoverCoordinator: this.desk,
+      backendManager: () => this.backendManager,
+      handoverCoordinator: this.handoverCoordinator,
       random: this.ports.random,
-      onWritten: (service, record) => this.tellOwnership(service, record),
-      onMovesPlanned: (daemon, moves) => this.tellExpected(daemon, moves),
-      onSharedReadNeeded: (reader, question) => this.askRead(reader, question),
-      onPromiseNeeded: (arbiter, question) =>
+      onWritten: (service, record) => this.announceOwnership(service, record),
+      onMovesPlanned: (daemon, moves) =>
+        this.announcePlannedMoves(daemon, moves),
+      onSharedReadNeeded: (reader, request) =>
+        this.requestSharedRead(reader, request),
+      onPromiseNeeded: (arbiter, request) =>
         this.gossip.sendDatagram({
           kind: "ask_promise",
           sender: this.view.ownReport.address,
-          ...question,
+          ...request,
         }, arbiter),
     });
     this.configuration = ConfigurationManager.create({
       document: ports.document,
       logger,
-      peerClient: this.questions,
+      peerClient: this.peerClient,
       onChange: ({ configuration }) => {
         this.directory.configure(configuration);
         this.ingress.setLimits(configuration.limits);
@@ -259,18 +263,23 @@
       view: this.view,
       logger,
       random,
-      describeSelf: () => this.describe(),
-      onReports: (reports) => this.noteReports(reports),
-      onDatagram: (datagram) => this.takeDatagram(datagram),
+      describeSelf: () => this.describeSelf(),
+      onReports: (reports) => this.handleReports(reports),
+      onDatagram: (datagram) => this.handleDatagram(datagram),
     });
     this.forwarder = Forwarder.create({
       logger,
       onLoad: (daemon, route, load) =>
-        this.board.recordRouteLoad(daemon, { route, load, nowMs: steadyMs() }),
-      onUnreachable: (daemon) => this.board.markUnreachable(daemon, steadyMs()),
+        this.loadTracker.recordRouteLoad(daemon, {
+          route,
+          load,
+          nowMs: steadyMs(),
+        }),
+      onUnreachable: (daemon) =>
+        this.loadTracker.markUnreachable(daemon, steadyMs()),
     });
     const { resendRatio, resendExtra, resendWindowMs } = settings.bounds;
-    this.budget = FleetRetryBudget.create({
+    this.retryBudget = FleetRetryBudget.create({
       ratio: resendRatio,
       extra: resendExtra,
       windowMs: resendWindowMs,
@@ -278,12 +287,12 @@
     const runner = RequestRunner.create({
       logger,
       view: this.view,
-      loadTracker: this.board,
+      loadTracker: this.loadTracker,
       directory: this.directory,
       backend: this.backend,
       forwarder: this.forwarder,
       quarantine: this.quarantine,
-      budget: this.budget,
+      budget: this.retryBudget,
       random,
     });
     this.ingress = Ingress.create({
@@ -313,21 +322,25 @@
       store: this.directStore,
     });
     this.peerConnections = ServerConnections.create(this.peerServer.server);
-    this.heartbeats = createHeartbeatServer({
-      backendManager: this.keeper,
+    this.heartbeatServer = createHeartbeatServer({
+      backendManager: this.backendManager,
       protocol: ports.backends,
       logger,
     });
-    this.readiness = createReadinessServer({
+    this.readinessServer = createReadinessServer({
       callers: ports.callers,
       isReady: () =>
-        !this.isLeaving && this.configuration.inForce !== undefined,
+        !this.isStopRequested && this.configuration.inForce !== undefined,
     });
     this.watcher = this.createWatcher();
     this.createGauges();
   }
 
-  /** Reads the settings and creates a router that does not run yet. */
+  /**
+   * Reads the settings and creates a router that is not running yet.
+   *
+   * @throws BamboolinkError if the settings can't be read.
+   */
   static create(ports: RouterPorts): Router {
     const settings = ports.settings.read();
     if (settings.isErr()) {
@@ -336,17 +349,17 @@
     return new Router(ports, settings.value);
   }
 
-  /** Opens the addresses and begins to work. */
+  /** Starts the servers, the gossip and the control loop. Rejects if an address can't be bound. */
   async start(): Promise<void> {
     const { settings } = this;
     this.watcher.start();
     this.members.start();
     await Promise.all([
       this.gossip.start(),
-      listen(this.heartbeats, settings.heartbeatAddress),
+      listen(this.heartbeatServer, settings.heartbeatAddress),
       listen(this.linkServer.server, settings.gossipAddress),
       listen(this.peerServer.server, settings.peerAddress),
-      listen(this.readiness, settings.readinessAddress),
+      listen(this.readinessServer, settings.readinessAddress),
       listen(this.ingress.server, settings.callerAddress),
     ]);
     startMetricsServer({
@@ -355,12 +368,12 @@
       logger: this.logger,
     });
     this.timers.push(
-      setInterval(() => this.tick(), TICK_MS),
+      setInterval(() => this.tick(), TICK_INTERVAL_MS),
       setInterval(() => this.gossip.runRound(), GOSSIP_INTERVAL_MS),
-      setInterval(() => this.checkSettings(), SETTINGS_MS),
+      setInterval(() => this.checkSettings(), SETTINGS_CHECK_INTERVAL_MS),
       setInterval(
         () => this.logLoad(),
-        LOAD_LINE_MS,
+        LOAD_LOG_INTERVAL_MS,
       ),
     );
     this.logger.log("process_started", {
@@ -370,49 +383,51 @@
     });
   }
 
-  /** Reads the settings again, because somebody said that they changed. */
+  /** Reads the settings again, even if their version has not changed. */
   reload(): void {
     this.settingsVersion = "";
     this.checkSettings();
   }
 
   /**
-   * Stops without cutting anything: readiness goes first; requests are taken until nobody new comes;
-   * then the daemon takes itself out, ends what is under way, and closes.
+   * Shuts down gracefully, within the grace period: withdraws readiness, accepts requests until readiness probes have
+   * seen that, announces to other daemons that it is stopping, waits for requests in flight and for keys that are being
+   * released, and closes.
    */
   async stop(): Promise<void> {
-    if (this.isLeaving) {
+    if (this.isStopRequested) {
       return;
     }
-    const untilMs = steadyMs() + this.settings.bounds.graceMs - CLOSING_MS;
-    this.isLeaving = true;
+    const deadlineMs = steadyMs() + this.settings.bounds.graceMs -
+      CLOSE_RESERVE_MS;
+    this.isStopRequested = true;
     this.logger.log("process_stopping");
     this.ingress.beginStop();
-    await sleep(LEAVE_MS);
+    await sleep(PRE_STOP_DELAY_MS);
     this.isStopping = true;
     this.gossip.announce();
     this.ingress.stopListening();
     this.ingress.closeIdle();
-    await sleep(TICK_MS);
+    await sleep(TICK_INTERVAL_MS);
     this.linkServer.beginStop();
-    while (steadyMs() < untilMs && this.hasDuties()) {
-      await sleep(TICK_MS / 2);
+    while (steadyMs() < deadlineMs && this.hasPendingWork()) {
+      await sleep(TICK_INTERVAL_MS / 2);
       this.ingress.closeIdle();
     }
-    const left = {
+    const remaining = {
       unfinished: this.ingress.activeCount + this.linkServer.activeCount,
       unsent_bytes: this.ingress.unsentBytes,
     };
     await this.close();
-    this.logger.log("process_stopped", left);
+    this.logger.log("process_stopped", remaining);
   }
 
   /**
-   * Whether the process must not end yet. Keys that were given up and are still its own in the record would be
-   * free only after a takeover, 7 s later or more; while the store is away, it may come back before the process has to
-   * end.
+   * Whether the process must not exit yet. Keys that were released but that the record still assigns to this daemon
+   * could be assigned to others only after a takeover, 7 s later or more. If the store is unreachable, it may become
+   * reachable again before the process has to exit.
    */
-  private hasDuties(): boolean {
+  private hasPendingWork(): boolean {
     const requests = this.ingress.busyCount + this.linkServer.activeCount +
       this.peerConnections.busyCount;
     return requests > 0 || this.ownership.isReleasingKeys;
@@ -425,15 +440,16 @@
     this.gossip.close();
     await this.linkServer.close();
     this.forwarder.close();
-    [this.peerServer.server, this.readiness, this.heartbeats].forEach(
-      (server) => server.close(),
-    );
+    [this.peerServer.server, this.readinessServer, this.heartbeatServer]
+      .forEach(
+        (server) => server.close(),
+      );
     await Promise.all([this.backend.close(), this.store.close()]);
   }
 
   private logLoad(): void {
     this.logger.log("backend_load", {
-      service: this.keeper.service,
+      service: this.backendManager.service,
       ...this.backend.takeLoadSummary(),
       lag_ms: Math.round(this.lag.takeMaxMs()),
     });
@@ -449,11 +465,11 @@
     this.evacuation.tick();
   }
 
-  private describe(): Partial<MemberReport> {
+  private describeSelf(): Partial<MemberReport> {
     return {
-      service: this.keeper.service ?? this.settings.service,
-      phase: this.isStopping ? "stopping" : this.keeper.phase,
-      slots: this.keeper.slots,
+      service: this.backendManager.service ?? this.settings.service,
+      phase: this.isStopping ? "stopping" : this.backendManager.phase,
+      slots: this.backendManager.slots,
       waitMs: Math.round(this.backend.waitMs),
       serviceMs: Math.round(this.backend.serviceMs),
       utilization: this.ownership.utilization,
@@ -464,18 +480,18 @@
     };
   }
 
-  private noteReports(reports: readonly MemberReport[]): void {
+  private handleReports(reports: readonly MemberReport[]): void {
     const nowMs = steadyMs();
     reports.forEach((report) => {
-      this.board.recordLoad(report.address, report, nowMs);
+      this.loadTracker.recordLoad(report.address, report, nowMs);
       this.configuration.handlePeerReport(report);
       if (report.ownershipRevision > this.directory.revision) {
-        this.askOwnership(report.forwardAddress);
+        this.fetchOwnership(report.forwardAddress);
       }
     });
   }
 
-  private takeDatagram(datagram: Datagram): void {
+  private handleDatagram(datagram: Datagram): void {
     switch (datagram.kind) {
       case "ownership": {
         const { sender, service, revision, text } = datagram;
@@ -485,25 +501,25 @@
         }
         const address = this.view.find(sender)?.forwardAddress;
         if (address !== undefined) {
-          this.askOwnership(address);
+          this.fetchOwnership(address);
         }
         return;
       }
       case "expect":
-        this.desk.expectRanges(
+        this.handoverCoordinator.expectRanges(
           datagram.sender,
           datagram.ranges.map(([from, to, load]) => ({ from, to, load })),
           steadyMs(),
         );
         return;
       case "awaiting":
-        this.desk.markAwaiting(datagram.sender);
+        this.handoverCoordinator.markAwaiting(datagram.sender);
         return;
       case "ask_promise":
-        this.answerPromiseQuestion(datagram);
+        this.handlePromiseRequest(datagram);
         return;
       case "ask_read":
-        this.reader.enqueue(datagram.sender, datagram);
+        this.sharedReader.enqueue(datagram.sender, datagram);
         return;
       case "read":
         this.ownership.onSharedRead(datagram);
@@ -516,45 +532,45 @@
         this.evacuation.applyUpdate(datagram);
         return;
       case "ask_evacuation":
-        this.answerEvacuation(datagram.sender);
+        this.sendEvacuationState(datagram.sender);
         return;
       case "promise":
-        if (datagram.service === this.keeper.service) {
-          this.tenure.recordPromise(datagram.sender, datagram.askedAtMs);
+        if (datagram.service === this.backendManager.service) {
+          this.lease.recordPromise(datagram.sender, datagram.askedAtMs);
         }
     }
   }
 
-  /** Asks a daemon that knows newer records of ownership, one question at a time. */
-  private askOwnership(peer: string): void {
-    if (this.isAskingOwnership) {
+  /** Fetches the ownership records from a daemon that has newer ones; only one fetch runs at a time. */
+  private fetchOwnership(peer: string): void {
+    if (this.isFetchingOwnership) {
       return;
     }
-    this.isAskingOwnership = true;
-    void this.questions.askOwnership(peer).match(
+    this.isFetchingOwnership = true;
+    void this.peerClient.askOwnership(peer).match(
       (records) =>
-        records.forEach((news) => this.directory.updateFromPeer(news)),
+        records.forEach((record) => this.directory.updateFromPeer(record)),
       (cause) => this.logger.log("peer_question_failed", { peer, cause }),
     ).finally(() => {
-      this.isAskingOwnership = false;
+      this.isFetchingOwnership = false;
     });
   }
 
-  private tellOwnership(service: string, record: OwnershipRecord): void {
+  private announceOwnership(service: string, record: OwnershipRecord): void {
     const text = record.encode();
     this.gossip.broadcast({
       kind: "ownership",
       sender: this.view.ownReport.address,
       service,
       revision: record.revision,
-      ...(text.length <= LARGEST_NEWS_BYTES ? { text } : {}),
+      ...(text.length <= MAX_INLINE_RECORD_BYTES ? { text } : {}),
     });
   }
 
-  private answerPromiseQuestion(
-    question: Extract<Datagram, { kind: "ask_promise" }>,
+  private handlePromiseRequest(
+    request: Extract<Datagram, { kind: "ask_promise" }>,
   ): void {
-    const { service, sender: owner, askedAtMs, confirmedRevision } = question;
+    const { service, sender: owner, askedAtMs, confirmedRevision } = request;
     if (!this.ownership.mayPromise(service, { owner, confirmedRevision })) {
       this.logger.log("tenure_promise_refused", {
         service,
@@ -571,26 +587,32 @@
     );
   }
 
-  /** Asks the daemon that reads for all owners, which may be the own one. */
-  private askRead(reader: string, question: SharedReadRequest): void {
+  /** Sends a read request to the daemon that reads for all owners, which may be this one. */
+  private requestSharedRead(reader: string, request: SharedReadRequest): void {
     const sender = this.view.ownReport.address;
     if (reader === sender) {
-      this.reader.enqueue(sender, question);
+      this.sharedReader.enqueue(sender, request);
       return;
     }
-    this.gossip.sendDatagram({ kind: "ask_read", sender, ...question }, reader);
+    this.gossip.sendDatagram({ kind: "ask_read", sender, ...request }, reader);
   }
 
-  private answerRead(owner: string, answer: SharedReadResponse): void {
+  private sendSharedReadResponse(
+    owner: string,
+    response: SharedReadResponse,
+  ): void {
     const sender = this.view.ownReport.address;
     if (owner === sender) {
-      this.ownership.onSharedRead(answer);
+      this.ownership.onSharedRead(response);
       return;
     }
-    this.gossip.sendDatagram({ kind: "read", sender, ...answer }, owner);
+    this.gossip.sendDatagram({ kind: "read", sender, ...response }, owner);
   }
 
-  private tellExpected(daemon: string, moves: readonly PlannedMove[]): void {
+  private announcePlannedMoves(
+    daemon: string,
+    moves: readonly PlannedMove[],
+  ): void {
     const sender = this.view.ownReport.address;
     const ranges = moves.map(({ from, to, load }): [number, number, number] => [
       from,
@@ -600,25 +622,25 @@
     this.gossip.sendDatagram({ kind: "expect", sender, ranges }, daemon);
   }
 
-  /** Holds back the answer to a heartbeat while keys come or go, so that they have a holder sooner. */
-  private async meetHandovers(): Promise<void> {
+  /** Delays the response to a heartbeat during a handover of keys, so that they are without a holder for less time. */
+  private async awaitHandovers(): Promise<void> {
     if (this.ownership.hasPlannedMoves) {
-      // Giving goes first: daemons that wait for each other's keys would give none.
+      // Releasing keys comes first: two daemons that each wait for the other's keys would release none.
       await this.ownership.beginMoves();
       return;
     }
-    const givers = this.desk.expectedSenders(steadyMs());
-    if (givers.length === 0) {
+    const sources = this.handoverCoordinator.expectedSenders(steadyMs());
+    if (sources.length === 0) {
       return;
     }
     const sender = this.view.ownReport.address;
-    givers.forEach((giver) =>
-      this.gossip.sendDatagram({ kind: "awaiting", sender }, giver)
+    sources.forEach((source) =>
+      this.gossip.sendDatagram({ kind: "awaiting", sender }, source)
     );
-    await this.desk.awaitKeys(steadyMs);
+    await this.handoverCoordinator.awaitKeys(steadyMs);
   }
 
-  /** Most requests in one second that a cold backend server of a service may get; 0 where that is not known. */
+  /** Maximum rate for a cold backend server of a service, in requests per second; 0 if it is not known. */
   private coldLimitOf(service: string): number {
     const { coldRatio, coldExtra } = this.settings.bounds;
     const perSecond = this.configuration.inForce?.services.get(service)
@@ -628,19 +650,19 @@
       : Math.max(1, Math.floor(perSecond * coldRatio + coldExtra));
   }
 
-  /** The daemon that reads for all sees first that the store went back. */
+  /** Only the shared reader restores them, as it is the first to see that the store was rolled back. */
   private restoreMembers(): void {
     if (this.ownership.isSharedReader) {
       void this.members.restoreLost(steadyMs());
     }
   }
 
-  /** A living daemon that reaches the store, any one. */
-  private findHelper(): string | undefined {
-    const helpers = this.view.alive(steadyMs())
+  /** Picks a random alive daemon that reaches the store. */
+  private findRelay(): string | undefined {
+    const relays = this.view.alive(steadyMs())
       .filter(({ reachesStore }) => reachesStore);
-    const index = Math.floor(this.ports.random() * helpers.length);
-    return helpers[index]?.forwardAddress;
+    const index = Math.floor(this.ports.random() * relays.length);
+    return relays[index]?.forwardAddress;
   }
 
   private createWatcher(): StoreWatcher {
@@ -660,7 +682,7 @@
           document.readEvacuatedZone(key) ?? []
         );
         this.evacuation.applyListing({ revision, zones });
-        records.forEach((record) => this.takeOperatorRecord(record));
+        records.forEach((record) => this.handleOperatorRecord(record));
       },
       onChange: (change) => {
         const { key, value, revision } = change;
@@ -669,12 +691,12 @@
           const isEvacuated = value !== undefined;
           this.evacuation.applyChange({ revision, zone, isEvacuated });
         }
-        this.takeOperatorRecord(change);
+        this.handleOperatorRecord(change);
       },
     });
   }
 
-  private takeOperatorRecord(
+  private handleOperatorRecord(
     { key, value }: { key: string; value: string | undefined },
   ): void {
     if (key === this.ports.document.key && value !== undefined) {
@@ -688,23 +710,23 @@
       .some(({ availabilityZone }) => availabilityZone === zone);
   }
 
-  /** Asks one living daemon which zones are evacuated. */
-  private askEvacuation(): void {
+  /** Asks a random alive daemon which availability zones are evacuated. */
+  private requestEvacuationState(): void {
     const sender = this.view.ownReport.address;
     const alive = this.view.alive(steadyMs());
-    const asked = alive[Math.floor(this.ports.random() * alive.length)];
-    if (asked !== undefined) {
+    const peer = alive[Math.floor(this.ports.random() * alive.length)];
+    if (peer !== undefined) {
       this.gossip.sendDatagram(
         { kind: "ask_evacuation", sender },
-        asked.address,
+        peer.address,
       );
     }
   }
 
-  private answerEvacuation(peer: string): void {
-    const news = this.evacuation.createUpdate();
-    if (news !== undefined) {
-      this.gossip.sendDatagram(news, peer);
+  private sendEvacuationState(peer: string): void {
+    const update = this.evacuation.createUpdate();
+    if (update !== undefined) {
+      this.gossip.sendDatagram(update, peer);
     }
   }
 
@@ -717,7 +739,7 @@
       bamboolink_requests_quarantined: () => this.quarantine.count,
       bamboolink_owned_keys: () => this.grants.ownKeyCount,
       bamboolink_tenure_left_ms: () =>
-        Math.max(0, this.tenure.expiresAtMs - bootMs()),
+        Math.max(0, this.lease.expiresAtMs - bootMs()),
       bamboolink_zone_evacuated: () => this.evacuation.isEvacuated ? 1 : 0,
       bamboolink_store_era: () => this.store.era,
       bamboolink_store_reached: () => this.store.isReachable ? 1 : 0,
@@ -727,7 +749,7 @@
     );
   }
 
-  /** Takes over changed settings; those that can't be read leave all as it is. */
+  /** Applies changed settings; settings that can't be read are logged and ignored. */
   private checkSettings(): void {
     const version = this.ports.settings.readVersion();
     if (version === this.settingsVersion) {
@@ -743,7 +765,7 @@
   private applySettings(settings: RouterSettings): void {
     this.settings = { ...settings };
     const { resendRatio, resendExtra, resendWindowMs } = settings.bounds;
-    this.budget.setLimits({
+    this.retryBudget.setLimits({
       ratio: resendRatio,
       extra: resendExtra,
       windowMs: resendWindowMs,
