--- a/packages/router/src/decoders_test.ts
+++ b/packages/router/src/decoders_test.ts
@@ -1,5 +1,6 @@
 /**
- * Tests of what daemons read from each other and from the store: spoiled bytes are refused, and nothing throws.
+ * Property tests of the decoders for data from other daemons and from the store: corrupted bytes are rejected or decode
+ * to values of the right types, and no unexpected error is thrown.
  *
  * @module
  */
@@ -24,32 +25,38 @@
 const SEED = 20_261_203;
 const RUNS = 2_000;
 
-/** Valid bytes of which a few are replaced, left out or added. */
-function spoil(bytes: Uint8Array): fc.Arbitrary<Buffer> {
+/** Generates copies of valid bytes in which a few bytes are replaced, removed or inserted. */
+function corrupt(bytes: Uint8Array): fc.Arbitrary<Buffer> {
   const change = fc.record({
     at: fc.nat(Math.max(0, bytes.length - 1)),
     length: fc.nat(6),
-    added: fc.uint8Array({ maxLength: 6 }),
+    inserted: fc.uint8Array({ maxLength: 6 }),
   });
   return fc.array(change, { minLength: 1, maxLength: 3 }).map((changes) =>
     changes.reduce(
-      (whole, { at, length, added }) =>
+      (current, { at, length, inserted }) =>
         Buffer.concat([
-          whole.subarray(0, at),
-          added,
-          whole.subarray(at + length),
+          current.subarray(0, at),
+          inserted,
+          current.subarray(at + length),
         ]),
       Buffer.from(bytes),
     )
   );
 }
 
-function check(bytes: Uint8Array, look: (spoiled: Buffer) => void): void {
-  fc.assert(fc.property(spoil(bytes), look), { seed: SEED, numRuns: RUNS });
+function checkCorrupted(
+  bytes: Uint8Array,
+  predicate: (corrupted: Buffer) => void,
+): void {
+  fc.assert(fc.property(corrupt(bytes), predicate), {
+    seed: SEED,
+    numRuns: RUNS,
+  });
 }
 
 describe("decoders", () => {
-  describe("of gossip, given spoiled bytes", () => {
+  describe("for gossip, given corrupted bytes", () => {
     const report: MemberReport = {
       address: "10.0.0.1:7620",
       incarnation: 1,
@@ -68,14 +75,16 @@
       reachesStore: true,
     };
 
-    it("refuse them, or read reports of the right types", () => {
+    it("reject them or return reports of the right types", () => {
       const bytes = encodeGossip({
         sender: report.address,
         reports: [report, { ...report, address: "10.0.0.2:7620" }],
         beats: [{ name: 77, incarnation: 1, beat: 7 }],
       });
-      check(bytes, (spoiled) => {
-        const reports = decodeGossip(spoiled).map((message) => message.reports)
+      checkCorrupted(bytes, (corrupted) => {
+        const reports = decodeGossip(corrupted).map((message) =>
+          message.reports
+        )
           .unwrapOr([]);
         reports.forEach(({ beat, slots, address }) => {
           expect([beat, slots].every(Number.isInteger)).to.equal(true);
@@ -85,8 +94,8 @@
     });
   });
 
-  describe("of datagrams, given spoiled bytes", () => {
-    it("refuse them, or read a question of the right types", () => {
+  describe("for datagrams, given corrupted bytes", () => {
+    it("reject them or return a request of the right types", () => {
       const bytes = encodeDatagram({
         kind: "ask_promise",
         sender: "10.0.0.1:7620",
@@ -94,8 +103,8 @@
         askedAtMs: 17,
         confirmedRevision: 4,
       });
-      check(bytes, (spoiled) => {
-        decodeDatagram(spoiled).map((datagram) => {
+      checkCorrupted(bytes, (corrupted) => {
+        decodeDatagram(corrupted).map((datagram) => {
           if (datagram.kind === "ask_promise") {
             expect(Number.isInteger(datagram.confirmedRevision)).to.equal(true);
           }
@@ -104,18 +113,17 @@
     });
   });
 
-  describe("of ownership records, given spoiled bytes", () => {
-    // Symptom: keys have two owners, or none, after somebody wrote into the record.
-    // Sequence: a record with rows that are cut short, out of order or out of range is read.
-    // Cause: such rows were taken over.
-    it("refuse them, or read ranges that don't overlap", () => {
+  describe("for ownership records, given corrupted bytes", () => {
+    // Guards against keys with two owners, or none, after somebody else wrote to the record: rows that were truncated,
+    // out of order or out of range were applied.
+    it("reject them or return ranges that don't overlap", () => {
       const record = OwnershipRecord.create().assign([
         { from: 0, to: 99, daemon: "one", handover: "" },
         { from: 100, to: 65_535, daemon: "two", handover: "proof" },
       ]).appoint(["one"]);
-      check(Buffer.from(record.encode()), (spoiled) => {
-        const segments = OwnershipRecord.decode(spoiled.toString(), 3)
-          .map((read) => read.segments).unwrapOr([]);
+      checkCorrupted(Buffer.from(record.encode()), (corrupted) => {
+        const segments = OwnershipRecord.decode(corrupted.toString(), 3)
+          .map((decoded) => decoded.segments).unwrapOr([]);
         segments.forEach(({ from, to }, index) => {
           expect(from).to.be.within(0, to);
           expect(to).to.be.at.most(65_535);
@@ -126,17 +134,17 @@
     });
   });
 
-  describe("of link frames, given spoiled bytes", () => {
-    it("refuse them with an error that names the step, or read a frame", () => {
+  describe("for link frames, given corrupted bytes", () => {
+    it("reject them with an error that names the step, or return a frame", () => {
       const bytes = encodeFrame({
         kind: FRAME_KINDS.request,
         id: 5,
         head: ["id", "rooms", "r-1", 1, true, null, "desk", 50, 90, false],
         body: undefined,
       });
-      check(bytes, (spoiled) => {
+      checkCorrupted(bytes, (corrupted) => {
         try {
-          FrameReader.create().push(spoiled).forEach((frame) => {
+          FrameReader.create().push(corrupted).forEach((frame) => {
             decodeRequest(frame, 0);
             decodeOutcome(frame);
           });
--- a/packages/router/src/evacuation_manager_test.ts
+++ b/packages/router/src/evacuation_manager_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of when a daemon takes its availability zone for evacuated.
+ * Tests of when a daemon considers its availability zone evacuated.
  *
  * @module
  */
@@ -13,113 +13,115 @@
 const EVACUATE_MS = 5_000;
 const SECOND_MS = 1_000;
 
-function createKeeper() {
+function createManager() {
   let nowMs = 0;
-  const told: EvacuationUpdate[] = [];
-  const retold: EvacuationUpdate[] = [];
-  const counts = { asked: 0, changed: 0 };
-  const keeper = EvacuationManager.create({
+  const broadcasts: EvacuationUpdate[] = [];
+  const repeated: EvacuationUpdate[] = [];
+  const counts = { requested: 0, changed: 0 };
+  const manager = EvacuationManager.create({
     address: "own",
     zone: "a",
     logger: Logger.createBounded("test", { level: "error" }),
     nowMs: () => nowMs,
     evacuateMs: () => EVACUATE_MS,
     isKnownZone: (zone) => zone !== "nowhere",
-    broadcast: (news) => told.push(news),
-    sendToSome: (news) => retold.push(news),
+    broadcast: (update) => broadcasts.push(update),
+    sendToSome: (update) => repeated.push(update),
     requestUpdate: () => {
-      counts.asked += 1;
+      counts.requested += 1;
     },
     onChange: () => {
       counts.changed += 1;
     },
   });
-  const pass = (byMs: number) => {
+  const advance = (byMs: number) => {
     nowMs += byMs;
-    keeper.tick();
+    manager.tick();
   };
-  return { keeper, told, retold, counts, pass };
+  return { manager, broadcasts, repeated, counts, advance };
 }
 
 describe("EvacuationManager", () => {
-  describe("when its zone is evacuated while it runs", () => {
-    it("tells all others, and leaves time to hand keys over", () => {
-      const { keeper, told, counts, pass } = createKeeper();
-      keeper.applyListing({ revision: 1, zones: [] });
-      pass(SECOND_MS);
-      keeper.applyChange({ revision: 2, zone: "a", isEvacuated: true });
-      expect(keeper.isEvacuated).to.equal(true);
-      expect(keeper.handOverUntilMs).to.be.within(
+  describe("when its zone is evacuated while the daemon runs", () => {
+    it("notifies all other daemons and leaves time to hand keys over", () => {
+      const { manager, broadcasts, counts, advance } = createManager();
+      manager.applyListing({ revision: 1, zones: [] });
+      advance(SECOND_MS);
+      manager.applyChange({ revision: 2, zone: "a", isEvacuated: true });
+      expect(manager.isEvacuated).to.equal(true);
+      expect(manager.handOverUntilMs).to.be.within(
         SECOND_MS,
         SECOND_MS + EVACUATE_MS / 2,
       );
-      expect(told.at(-1)).to.include({ sender: "own", revision: 2 });
+      expect(broadcasts.at(-1)).to.include({ sender: "own", revision: 2 });
       expect(counts.changed).to.equal(1);
     });
 
-    // Guards against the time for the handover being extended by each further evacuation.
-    it("leaves no more time when another zone is evacuated", () => {
-      const { keeper, pass } = createKeeper();
-      keeper.applyChange({ revision: 2, zone: "a", isEvacuated: true });
-      const untilMs = keeper.handOverUntilMs;
-      pass(SECOND_MS);
-      keeper.applyChange({ revision: 3, zone: "b", isEvacuated: true });
-      expect(keeper.handOverUntilMs).to.equal(untilMs);
+    // Guards against each further evacuation extending the time for the handover.
+    it("does not extend the time when another zone is evacuated", () => {
+      const { manager, advance } = createManager();
+      manager.applyChange({ revision: 2, zone: "a", isEvacuated: true });
+      const deadlineMs = manager.handOverUntilMs;
+      advance(SECOND_MS);
+      manager.applyChange({ revision: 3, zone: "b", isEvacuated: true });
+      expect(manager.handOverUntilMs).to.equal(deadlineMs);
     });
   });
 
-  // Guards against a daemon that starts again serving on in a zone that was evacuated long before.
+  // Guards against a restarted daemon serving requests in a zone that was evacuated long before.
   describe("when it learns of an evacuation of unknown age", () => {
-    it("leaves no time", () => {
-      const listed = createKeeper().keeper;
-      listed.applyListing({ revision: 9, zones: ["a"] });
-      const told = createKeeper().keeper;
-      told.applyUpdate({
+    it("leaves no time for the handover", () => {
+      const fromStore = createManager().manager;
+      fromStore.applyListing({ revision: 9, zones: ["a"] });
+      const fromPeer = createManager().manager;
+      fromPeer.applyUpdate({
         kind: "evacuation",
         sender: "other",
         revision: 9,
         zones: ["a"],
       });
-      expect([listed, told].map(({ handOverUntilMs }) => handOverUntilMs))
+      expect(
+        [fromStore, fromPeer].map(({ handOverUntilMs }) => handOverUntilMs),
+      )
         .to.deep.equal([-Infinity, -Infinity]);
     });
   });
 
-  describe("when the zone is taken back", () => {
-    it("is open again, and others that missed it are told for a while", () => {
-      const { keeper, retold, counts, pass } = createKeeper();
-      keeper.applyChange({ revision: 2, zone: "a", isEvacuated: true });
-      keeper.applyChange({ revision: 3, zone: "a", isEvacuated: false });
-      expect(keeper.isEvacuated).to.equal(false);
+  describe("when the evacuation of its zone is cleared", () => {
+    it("ends the evacuation and repeats the update to others for a while", () => {
+      const { manager, repeated, counts, advance } = createManager();
+      manager.applyChange({ revision: 2, zone: "a", isEvacuated: true });
+      manager.applyChange({ revision: 3, zone: "a", isEvacuated: false });
+      expect(manager.isEvacuated).to.equal(false);
       expect(counts.changed).to.equal(2);
-      pass(SECOND_MS);
-      expect(retold.at(-1)).to.deep.include({ revision: 3, zones: [] });
-      pass(100 * SECOND_MS);
-      const count = retold.length;
-      pass(SECOND_MS);
-      expect(retold).to.have.length(count);
+      advance(SECOND_MS);
+      expect(repeated.at(-1)).to.deep.include({ revision: 3, zones: [] });
+      advance(100 * SECOND_MS);
+      const count = repeated.length;
+      advance(SECOND_MS);
+      expect(repeated).to.have.length(count);
     });
   });
 
-  describe("before it has learned anything", () => {
-    // Guards against a daemon that starts giving work to an evacuated server before it has read what is evacuated.
-    it("is not settled, and asks", () => {
-      const { keeper, counts, pass } = createKeeper();
-      expect(keeper.isSettled).to.equal(false);
-      pass(SECOND_MS);
-      pass(SECOND_MS);
-      expect(counts.asked).to.equal(2);
-      expect(keeper.createUpdate()).to.equal(undefined);
-      keeper.applyListing({ revision: 0, zones: [] });
-      expect(keeper.isSettled).to.equal(true);
+  describe("before it knows the evacuated zones", () => {
+    // Guards against a starting daemon sending requests to an evacuated server before it knows the evacuated zones.
+    it("is not settled and requests an update", () => {
+      const { manager, counts, advance } = createManager();
+      expect(manager.isSettled).to.equal(false);
+      advance(SECOND_MS);
+      advance(SECOND_MS);
+      expect(counts.requested).to.equal(2);
+      expect(manager.createUpdate()).to.equal(undefined);
+      manager.applyListing({ revision: 0, zones: [] });
+      expect(manager.isSettled).to.equal(true);
     });
 
-    // Guards against a fleet that starts while the store is away serving nobody.
-    it("is settled after a while all the same", () => {
-      const { keeper, pass } = createKeeper();
-      pass(4 * SECOND_MS);
-      expect(keeper.isSettled).to.equal(true);
-      expect(keeper.isEvacuated).to.equal(false);
+    // Guards against a fleet that starts while the store is unreachable serving no requests.
+    it("is settled after a time limit nevertheless", () => {
+      const { manager, advance } = createManager();
+      advance(4 * SECOND_MS);
+      expect(manager.isSettled).to.equal(true);
+      expect(manager.isEvacuated).to.equal(false);
     });
   });
 });
--- a/packages/router/src/gossip_node_test.ts
+++ b/packages/router/src/gossip_node_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of gossip that somebody else sends.
+ * Tests of how a node handles invalid gossip that it receives.
  *
  * @module
  */
@@ -16,8 +16,8 @@
 import { GossipNode, isAddress } from "./gossip_node.ts";
 
 const ADDRESS = "127.0.0.1:21777";
-/** A datagram on loopback has arrived by then, in milliseconds. */
-const ARRIVED_MS = 50;
+/** Time within which a datagram on loopback arrives, in milliseconds. */
+const ARRIVAL_MS = 50;
 
 const REPORT: MemberReport = {
   address: ADDRESS,
@@ -37,11 +37,11 @@
   reachesStore: true,
 };
 
-/** A node that listens; its log is kept. */
+/** Starts a node; `events` collects the names of the events that it logs. */
 async function startNode() {
-  const lines: EventName[] = [];
+  const events: EventName[] = [];
   const logger = Logger.createBounded("test", { level: "error" });
-  logger.log = (event: EventName) => void lines.push(event);
+  logger.log = (event: EventName) => void events.push(event);
   const view = MemberView.create(REPORT);
   const node = GossipNode.create({
     address: ADDRESS,
@@ -53,7 +53,7 @@
     onDatagram: () => undefined,
   });
   await node.start();
-  return { node, view, lines };
+  return { node, view, events };
 }
 
 async function sendBytes(bytes: Uint8Array): Promise<void> {
@@ -62,55 +62,52 @@
   await new Promise((resolve) =>
     socket.send(bytes, Number(port), host, resolve)
   );
-  await sleep(ARRIVED_MS);
+  await sleep(ARRIVAL_MS);
   socket.close();
 }
 
-describe("gossip node", () => {
-  describe("told of addresses that are none", () => {
-    // Symptom: a daemon ends with an error about a port.
-    // Sequence: somebody sends a datagram in which the sender, or a daemon that it tells of, has no port that there is;
-    // the node answers, or tells that daemon in its next round.
-    // Cause: a socket throws at such a port, and nobody caught it.
-    it("sends nothing there, says so, and goes on", async () => {
-      const { node, view, lines } = await startNode();
+describe("GossipNode", () => {
+  describe("given reports with invalid addresses", () => {
+    // Guards against a daemon crashing with an error about a port: the sender of a datagram, or a daemon in its
+    // reports, has an invalid port, and the socket throws when the node responds or sends gossip there.
+    it("sends nothing to them, logs this, and continues", async () => {
+      const { node, view, events } = await startNode();
       const beats = [{ name: 77, incarnation: 1, beat: 7 }];
       for (const address of ["nonsense", "127.0.0.1:99999", ":1", "a:-3"]) {
         const reports = [{ ...REPORT, address }];
         await sendBytes(encodeGossip({ sender: address, reports, beats }));
         node.announce();
-        await sleep(ARRIVED_MS * 4);
+        await sleep(ARRIVAL_MS * 4);
       }
       node.close();
       expect(view.known).to.have.length(4);
-      expect(lines).to.include("gossip_failed");
+      expect(events).to.include("gossip_failed");
     });
   });
 
-  describe("sent reports that don't say of whom they are", () => {
-    // Symptom: a daemon is missing in the view of others, and no log says why.
-    // Sequence: its reports have no numbers where incarnation and beat stand.
-    // Cause: such a row compared as no news, and was left out before it was checked.
-    it("takes the others, and says so", async () => {
-      const { node, view, lines } = await startNode();
+  describe("given reports that don't identify their daemon", () => {
+    // Guards against a daemon missing from the views of others without a log line: its reports have no numbers for
+    // incarnation and heartbeat sequence, so they compared as not newer and were skipped before they were validated.
+    it("applies the other reports and logs the malformed ones", async () => {
+      const { node, view, events } = await startNode();
       const other = { ...REPORT, address: "127.0.0.1:21779" };
-      const whole = Object.values(other);
-      const rows = [whole, ["127.0.0.1:21779", "x", null], [], [7, 7, 7]];
+      const validRow = Object.values(other);
+      const rows = [validRow, ["127.0.0.1:21779", "x", null], [], [7, 7, 7]];
       const sender = other.address;
       await sendBytes(encode([2, sender, rows, new Uint8Array(0)]));
       node.close();
       expect(view.known).to.deep.equal([other.address]);
-      expect(lines).to.deep.equal(["gossip_malformed"]);
+      expect(events).to.deep.equal(["gossip_malformed"]);
     });
   });
 });
 
-describe("an address", () => {
-  it("has a host and a port that there is", () => {
-    const good = ["127.0.0.1:1", "host:65535", "[::1]:80"];
-    const bad = ["", ":", "host", "host:", ":80", "host:0", "host:65536"];
-    expect(good.filter((text) => !isAddress(text))).to.deep.equal([]);
-    expect(bad.filter(isAddress)).to.deep.equal([]);
+describe("isAddress", () => {
+  it("accepts only a host with a valid port", () => {
+    const valid = ["127.0.0.1:1", "host:65535", "[::1]:80"];
+    const invalid = ["", ":", "host", "host:", ":80", "host:0", "host:65536"];
+    expect(valid.filter((text) => !isAddress(text))).to.deep.equal([]);
+    expect(invalid.filter(isAddress)).to.deep.equal([]);
     expect(isAddress("host:8.5") || isAddress("host:80/x")).to.equal(false);
   });
 });
--- a/packages/router/src/metrics_server.ts
+++ b/packages/router/src/metrics_server.ts
@@ -1,5 +1,5 @@
 /**
- * Serves the metrics of a daemon.
+ * Serves a daemon's metrics as plain text over HTTP.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type { Metrics } from "@bamboolink/metrics";
 import { splitAddress } from "./gossip_node.ts";
 
-/** Starts to serve metrics, if there is an address for them; the process does not stay for it. */
+/** Starts the metrics server if an address is set. The server does not keep the process running. */
 export function startMetricsServer(context: {
   address: string | undefined;
   metrics: Metrics;
--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The router beside one backend server. What it meets outside (settings, store, configuration, callers,
- * backend servers) it meets through ports; this package knows no platform.
+ * The router that runs beside one backend server. It accesses settings, store, configuration, callers and backend
+ * servers through ports, and does not depend on a platform.
  *
  * @module
  */
--- a/packages/router/src/ports/configuration_document.ts
+++ b/packages/router/src/ports/configuration_document.ts
@@ -1,5 +1,5 @@
 /**
- * Where the operators' document lies, and how it is read.
+ * The port for the operators' configuration document: its location in the store and its format.
  *
  * @module
  */
@@ -7,17 +7,17 @@
 import type { TrafficConfiguration } from "@bamboolink/types";
 import type { Result } from "neverthrow";
 
-/** The operators' document. */
+/** The operators' configuration document. */
 export abstract class ConfigurationDocument {
   /** The document's key in the store. */
   abstract readonly key: string;
 
-  /** All that operators write lies below this prefix. */
+  /** Prefix of all keys that operators write. */
   abstract readonly prefix: string;
 
-  /** The availability zone that a key in the store evacuates while it is there; `undefined` for other keys. */
+  /** The availability zone that is evacuated while this key exists in the store; `undefined` for other keys. */
   abstract readEvacuatedZone(key: string): string | undefined;
 
-  /** Decodes the document. */
+  /** Decodes and validates the document; returns an error if it is invalid. */
   abstract decode(text: string): Result<TrafficConfiguration, BamboolinkError>;
 }
--- a/packages/router/src/ports/router_settings.ts
+++ b/packages/router/src/ports/router_settings.ts
@@ -1,5 +1,5 @@
 /**
- * What a router must know to run, whoever tells it.
+ * The port for the router's settings, independent of where they are stored.
  *
  * @module
  */
@@ -9,58 +9,62 @@
 
 const address = z.string().regex(/^[^:\s]+:\d+$/, "expected HOST:PORT");
 
-/** What a router must know to run. */
+/** Schema of the settings of one router; all addresses are `HOST:PORT`. */
 export const RouterSettings = z.object({
   /** Name of the host, for logs. */
   host: z.string().min(1),
   availabilityZone: z.string().min(1),
-  /** The service of the backend server on this host; callers on this host are told apart by it. */
+  /** The service of the backend server on this host; it also identifies the callers on this host. */
   service: z.string(),
-  /** Where the backend server on this host takes requests. */
+  /** Address at which the backend server on this host accepts requests. */
   backendAddress: address,
-  /** Where callers on this host send requests. */
+  /** Address at which the router accepts requests of callers on this host. */
   callerAddress: address,
-  /** Where the backend server on this host sends heartbeats. */
+  /** Address at which the router receives heartbeats of the backend server on this host. */
   heartbeatAddress: address,
-  /** Where readiness is asked for. */
+  /** Address of the readiness check. */
   readinessAddress: address,
-  /** Where other daemons ask questions. */
+  /** Address at which other daemons send requests to this one. */
   peerAddress: address,
-  /** Where other daemons send gossip, as datagrams, and open links for requests, over TCP. */
+  /** Address at which the router receives gossip over UDP and links for requests over TCP from other daemons. */
   gossipAddress: address,
-  /** Where metrics are read; none are served without it. */
+  /** Address of the metrics; none are served if it is absent. */
   metricsAddress: address.optional(),
   storeAddress: address,
-  /** Speed of the host's network link; not known without it. */
+  /** Capacity of the host's network link, in bytes per second; unknown if absent. */
   linkBytesPerSecond: z.number().positive().optional(),
-  /** Usual pause between two heartbeats of the backend server, in milliseconds. */
+  /** Typical interval between heartbeats of the backend server, in milliseconds. */
   heartbeatMs: z.number().positive(),
   bounds: z.object({
-    /** From the acknowledgement that a backend server leaves until it may get no more requests. */
+    /** From the acknowledgement that a backend server drains until it may receive no more requests, in milliseconds. */
     drainMs: z.number().positive(),
-    /** From the request to stop until the process is killed. */
+    /** From the request to stop until the process is killed, in milliseconds. */
     graceMs: z.number().positive(),
-    /** Resends for each request, over the fleet. */
+    /** Retries per request, over the whole fleet. */
     resendRatio: z.number().min(0),
-    /** Resends beyond the ratio in one window, over the fleet. */
+    /** Retries beyond the ratio in one window, over the whole fleet. */
     resendExtra: z.number().min(0),
+    /** Length of the retry budget's window, in milliseconds. */
     resendWindowMs: z.number().positive(),
-    /** From the acknowledgement that a zone is evacuated until its backend servers may get no more requests. */
+    /**
+     * From the acknowledgement that a zone is evacuated until its backend servers may receive no more requests, in
+     * milliseconds.
+     */
     evacuateMs: z.number().positive(),
-    /** Most requests in one second at a cold backend server, for each that it bears. */
+    /** Maximum rate at a cold backend server, as a share of the requests per second that it can handle while cold. */
     coldRatio: z.number().min(0),
-    /** Requests in one second at a cold backend server beyond the ratio. */
+    /** Requests per second that a cold backend server may receive beyond the ratio. */
     coldExtra: z.number().min(0),
   }),
 });
-/** What a router must know to run. */
+/** The settings of one router. */
 export type RouterSettings = z.infer<typeof RouterSettings>;
 
-/** Where settings come from. */
+/** Provides the settings. */
 export abstract class SettingsSource {
-  /** Reads the settings as they are now. */
+  /** Reads the current settings; returns an error if they can't be read or are invalid. */
   abstract read(): Result<RouterSettings, BamboolinkError>;
 
-  /** A text that changes when the settings may have changed; cheap enough to be asked every second. */
+  /** Returns a text that changes whenever the settings may have changed. It is cheap enough to call every second. */
   abstract readVersion(): string;
 }
--- a/packages/router/src/readiness_server.ts
+++ b/packages/router/src/readiness_server.ts
@@ -1,12 +1,12 @@
 /**
- * Tells the platform whether callers may send requests to this daemon.
+ * Serves the readiness check, by which the platform learns whether callers may send requests to this daemon.
  *
  * @module
  */
 import { createServer, type Server } from "node:http";
 import type { CallerProtocol } from "./ports/caller_protocol.ts";
 
-/** Creates the server for readiness checks; it does not listen yet. */
+/** Creates the server for readiness checks, which responds with 200, or 503 if not ready; it is not listening yet. */
 export function createReadinessServer(context: {
   callers: CallerProtocol;
   isReady: () => boolean;
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -72,7 +72,7 @@
 const SETTINGS_CHECK_INTERVAL_MS = 1_000;
 /**
  * How long requests are still accepted as before after a stop was requested, in milliseconds. By then, each client that
- * polls readiness has been told twice that the router is not ready.
+ * polls readiness has received two responses that the router is not ready.
  */
 const PRE_STOP_DELAY_MS = 2_300;
 /** Part of the grace period that is reserved for closing, before the process would be killed, in milliseconds. */
