--- a/packages/daemon/src/admin_server.ts
+++ b/packages/daemon/src/admin_server.ts
@@ -71,7 +71,7 @@
         response.writeHead(200, {
           "content-type": "text/plain; version=0.0.4",
         });
-        response.end(await this.context.metrics.write());
+        response.end(await this.context.metrics.render());
         return;
       case "GET /counters":
         return sendJson(response, {
--- a/packages/keyspace/src/testing/ownership_simulation.ts
+++ b/packages/keyspace/src/testing/ownership_simulation.ts
@@ -27,7 +27,7 @@
   TAKEOVER_WAIT_MS,
   TakeoverTimers,
 } from "../mod.ts";
-import { orderRevision } from "@bamboolink/types";
+import { toMonotonicRevision } from "@bamboolink/types";
 
 /** A broken variant of one rule. */
 export type Fault =
@@ -129,7 +129,7 @@
 /** The most changes that the store loses when it goes back. */
 const LARGEST_LOSS = 6;
 /** The first revision of the era after the first one, in the order over all eras. */
-const FIRST_OF_NEXT_ERA = orderRevision({ era: 1, revision: 1 }) - 1;
+const FIRST_OF_NEXT_ERA = toMonotonicRevision({ era: 1, revision: 1 }) - 1;
 /** Clock rates of the daemons. */
 const DAEMON_RATES = [1.009, 0.991, 1, 1.005];
 /** The steps after which somebody may have begun to hold keys are looked at this often, in ms. */
@@ -315,7 +315,7 @@
   /** The present revision in the order over all eras. */
   private order(): number {
     const era = this.fault === "order_without_era" ? 0 : this.era;
-    return orderRevision({ era, revision: this.revision });
+    return toMonotonicRevision({ era, revision: this.revision });
   }
 
   private copy(): void {
@@ -342,7 +342,7 @@
   /** The place of a revision of a former era in the order of the present one. */
   private reorder(order: number): number {
     const era = this.fault === "order_without_era" ? 0 : this.era;
-    return orderRevision({ era, revision: bareOf(order) });
+    return toMonotonicRevision({ era, revision: bareOf(order) });
   }
 
   private createHost(index: number): Host {
--- a/packages/logger/src/logger.ts
+++ b/packages/logger/src/logger.ts
@@ -31,7 +31,7 @@
    * Creates a logger that writes JSON lines to standard output, never waits for their reader, and writes
    * a bounded number of lines of each event.
    */
-  static createBounded(
+  static createRateLimited(
     process: string,
     options: { level: keyof typeof SEVERITY_LEVELS },
   ): Logger {
--- a/packages/metrics/src/metrics.ts
+++ b/packages/metrics/src/metrics.ts
@@ -76,7 +76,7 @@
   }
 
   /** Writes all metrics in the text format for scrapers. */
-  async write(): Promise<string> {
+  async render(): Promise<string> {
     const latencies = [...this.latencies].flatMap(([name, series]) =>
       writeLatency(name, [...series.values()])
     );
--- a/packages/router/src/backend_manager_test.ts
+++ b/packages/router/src/backend_manager_test.ts
@@ -51,7 +51,7 @@
     grants.beginRelease(grants.ownRanges);
     return true;
   };
-  const logger = Logger.createBounded("test", { level: "error" });
+  const logger = Logger.createRateLimited("test", { level: "error" });
   const protocol = {} as BackendProtocol;
   return BackendManager.create({
     logger,
--- a/packages/router/src/evacuation_keeper_test.ts
+++ b/packages/router/src/evacuation_keeper_test.ts
@@ -18,7 +18,7 @@
   const keeper = EvacuationKeeper.create({
     address: "own",
     zone: "a",
-    logger: Logger.createBounded("test", { level: "error" }),
+    logger: Logger.createRateLimited("test", { level: "error" }),
     nowMs: () => nowMs,
     evacuateMs: () => EVACUATE_MS,
     isNamed: (zone) => zone !== "nowhere",
--- a/packages/router/src/gossip_node_test.ts
+++ b/packages/router/src/gossip_node_test.ts
@@ -40,7 +40,7 @@
 /** A node that listens; its log is kept. */
 async function startNode() {
   const lines: EventName[] = [];
-  const logger = Logger.createBounded("test", { level: "error" });
+  const logger = Logger.createRateLimited("test", { level: "error" });
   logger.log = (event: EventName) => void lines.push(event);
   const view = MemberView.create(REPORT);
   const node = GossipNode.create({
--- a/packages/router/src/link_server_test.ts
+++ b/packages/router/src/link_server_test.ts
@@ -27,7 +27,7 @@
 function createServer(answer: Outcome): LinkServer {
   const nowMs = () => performance.now();
   return LinkServer.create({
-    logger: Logger.createBounded("test", { level: "error" }),
+    logger: Logger.createRateLimited("test", { level: "error" }),
     backend: {
       attempt: () => Promise.resolve(answer),
       loadReportFor: () => LOAD,
--- a/packages/router/src/link_test.ts
+++ b/packages/router/src/link_test.ts
@@ -242,7 +242,7 @@
       const peer = await PeerStandin.create();
       const unreachable: string[] = [];
       const forwarder = Forwarder.create({
-        logger: Logger.createBounded("test", { level: "error" }),
+        logger: Logger.createRateLimited("test", { level: "error" }),
         onLoad: () => undefined,
         onUnreachable: (daemon) => unreachable.push(daemon),
       });
--- a/packages/router/src/local_backend_test.ts
+++ b/packages/router/src/local_backend_test.ts
@@ -59,7 +59,7 @@
 }
 
 function createBackend(server: Server) {
-  const logger = Logger.createBounded("test", { level: "error" });
+  const logger = Logger.createRateLimited("test", { level: "error" });
   const quarantine = RequestQuarantine.create({
     address: "own",
     logger,
--- a/packages/router/src/member_directory_test.ts
+++ b/packages/router/src/member_directory_test.ts
@@ -72,7 +72,7 @@
       ownReport: { address: OWN, availabilityZone: "a" },
       name: (address: string) => named.push(address),
     } as unknown as MemberView,
-    logger: Logger.createBounded("test", { level: "error" }),
+    logger: Logger.createRateLimited("test", { level: "error" }),
     onRegistered: (revision) => registered.push(revision),
     onRecord: () => undefined,
   });
--- a/packages/router/src/metrics_server.ts
+++ b/packages/router/src/metrics_server.ts
@@ -19,7 +19,7 @@
     return;
   }
   const server = createServer((_incoming, response) => {
-    void metrics.write().then((text) => {
+    void metrics.render().then((text) => {
       response.writeHead(200, { "content-type": "text/plain" });
       response.end(text);
     });
--- a/packages/router/src/ownership_lease_manager_test.ts
+++ b/packages/router/src/ownership_lease_manager_test.ts
@@ -25,7 +25,7 @@
 
 /** A daemon that knows the record, and a store that holds something, or nothing. */
 function createKeeper(stored: { value: string; revision: number } | undefined) {
-  const logger = Logger.createBounded("test", { level: "error" });
+  const logger = Logger.createRateLimited("test", { level: "error" });
   const directory = OwnershipDirectory.create(logger);
   directory.updateRecord(SERVICE, RECORD);
   const lease = OwnershipLease.create();
--- a/packages/router/src/record_writer_test.ts
+++ b/packages/router/src/record_writer_test.ts
@@ -44,7 +44,7 @@
 /** Loses a race; `onLost` is what happens before the writer tries again. */
 async function loseRace(onLost: (directory: OwnershipDirectory) => void) {
   const store = new ContestedStore();
-  const logger = Logger.createBounded("test", { level: "error" });
+  const logger = Logger.createRateLimited("test", { level: "error" });
   const directory = OwnershipDirectory.create(logger);
   directory.updateRecord(SERVICE, KNOWN);
   const writer = RecordWriter.create({
--- a/packages/router/src/request_quarantine_test.ts
+++ b/packages/router/src/request_quarantine_test.ts
@@ -83,7 +83,7 @@
       others.forEach((to) => this.sent.push({ to, news }));
     return RequestQuarantine.create({
       address,
-      logger: Logger.createBounded("test", { level: "error" }),
+      logger: Logger.createRateLimited("test", { level: "error" }),
       random: () => {
         this.drawn = (this.drawn + STEP) % 1;
         return this.drawn;
--- a/packages/router/src/shared_reader_test.ts
+++ b/packages/router/src/shared_reader_test.ts
@@ -30,7 +30,7 @@
 
 function createReader(store: Store) {
   const answers: (SharedReadResponse & { owner: string })[] = [];
-  const logger = Logger.createBounded("test", { level: "error" });
+  const logger = Logger.createRateLimited("test", { level: "error" });
   const directory = OwnershipDirectory.create(logger);
   const reader = SharedReader.create({
     store,
--- a/packages/settings/src/settings.ts
+++ b/packages/settings/src/settings.ts
@@ -26,7 +26,7 @@
   readonly flag: string;
   readonly variable: string;
   readonly meaning: string;
-  readonly fallback: string;
+  readonly defaultValue: string;
 }
 
 type Shape = z.ZodObject<Record<string, z.ZodType>>;
@@ -49,7 +49,7 @@
       flag: flagOf(name),
       variable: variableOf(name),
       meaning: type.description ?? "",
-      fallback: parsed.success ? String(parsed.data ?? "none") : "required",
+      defaultValue: parsed.success ? String(parsed.data ?? "none") : "required",
     };
   });
 }
@@ -176,8 +176,8 @@
 function writeHelp(schema: Shape, tool: ToolDescription): string {
   const settings = describeSettings(schema);
   const width = Math.max(...settings.map(({ flag }) => flag.length));
-  const lines = settings.map(({ flag, variable, meaning, fallback }) =>
-    `  ${flag.padEnd(width)}  ${meaning} [${fallback}] (${variable})`
+  const lines = settings.map(({ flag, variable, meaning, defaultValue }) =>
+    `  ${flag.padEnd(width)}  ${meaning} [${defaultValue}] (${variable})`
   );
   return [`${tool.name}: ${tool.purpose}`, "", ...lines, ""].join("\n");
 }
--- a/packages/settings/src/settings_test.ts
+++ b/packages/settings/src/settings_test.ts
@@ -53,7 +53,7 @@
         flag: "--data-port",
         variable: "BAMBOOLINK_DATA_PORT",
         meaning: "Port for callers.",
-        fallback: "7080",
+        defaultValue: "7080",
       });
     });
   });
--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -67,7 +67,7 @@
 
 /**
  * The platform's key-value service. Its revisions rise also when it comes back from an older copy, since they count
- * within eras (`orderRevision`).
+ * within eras (`toMonotonicRevision`).
  *
  * Errors tell three cases apart: `refused` and `conflict` (surely without effect), `unreachable`
  * (no byte can have arrived) and `unknown_effect` (a write may have taken effect or may still do so).
--- a/packages/types/src/mod.ts
+++ b/packages/types/src/mod.ts
@@ -6,7 +6,7 @@
  */
 export * from "./configuration.ts";
 export * from "./headers.ts";
-export * from "./keys.ts";
+export * from "./store_keys.ts";
 export * from "./announcement.ts";
 export * from "./session.ts";
 export * from "./table.ts";
--- a/packages/types/src/store_position.ts
+++ b/packages/types/src/store_position.ts
@@ -23,12 +23,12 @@
 }
 
 /** A number that rises with each change and over eras; 0 for what is not there. */
-export function orderRevision({ era, revision }: StorePosition): number {
+export function toMonotonicRevision({ era, revision }: StorePosition): number {
   return revision === 0 ? 0 : era * REVISIONS_PER_ERA + revision;
 }
 
 /** The store's own revision by its order in an era; `undefined` for one of an earlier era. */
-export function revisionWithin(
+export function toStoreRevision(
   order: number,
   era: number,
 ): number | undefined {
--- a/scripts/check_docs.mjs
+++ b/scripts/check_docs.mjs
@@ -56,7 +56,7 @@
 
 function writeSettings() {
   const rows = describeSettings(DaemonSettings).map((setting) =>
-    `| \`${setting.flag}\` | \`${setting.variable}\` | ${setting.fallback} | ${setting.meaning} |`
+    `| \`${setting.flag}\` | \`${setting.variable}\` | ${setting.defaultValue} | ${setting.meaning} |`
   );
   return [
     "# Settings of the daemon",
