--- a/packages/types/src/announcement.ts
+++ b/packages/types/src/announcement.ts
@@ -1,23 +1,23 @@
 /**
- * What a backend server announces to the daemon on its own host.
+ * Schema of the announcement that a backend server sends to the daemon on its own host.
  *
  * @module
  */
 import { z } from "zod";
 
-/** Body of `POST /bamboolink/v1/announcements`. It is repeated as a heartbeat. */
+/** Body of `POST /bamboolink/v1/announcements`, sent repeatedly as a heartbeat. */
 export const Announcement = z.strictObject({
   service: z.string().min(1).max(63),
-  /** Port on this host on which the backend server answers HTTP. */
+  /** Port on this host on which the backend server accepts HTTP requests. */
   port: z.int().min(1).max(65_535),
-  /** How many requests it runs at once. */
+  /** Maximum number of requests that it runs concurrently. */
   slots: z.int().min(1).max(10_000),
-  /** The most connections that it accepts from the daemon. */
+  /** Maximum number of connections that it accepts from the daemon. */
   connections: z.int().min(1).max(10_000).default(64),
-  /** Whether it checks the fencing token and the expiry of its grant before and after running. */
+  /** Whether it checks the fencing token and the expiry of the grant before and after it runs a request. */
   checks_fencing: z.boolean(),
-  /** `draining` asks for no new work and for its keys to be moved away. */
+  /** `draining` requests that it receives no new requests and that its keys are moved to other servers. */
   state: z.enum(["ready", "draining"]).default("ready"),
 });
-/** What a backend server announces. */
+/** An announcement of a backend server. */
 export type Announcement = z.infer<typeof Announcement>;
--- a/packages/types/src/headers.ts
+++ b/packages/types/src/headers.ts
@@ -1,54 +1,54 @@
 /**
- * The HTTP headers and outcomes that bamboolink adds. The pages for callers and for authors of
- * backend servers describe them.
+ * The HTTP headers and outcomes that bamboolink adds to requests and responses. The documentation for
+ * callers and for authors of backend servers describes them.
  *
  * @module
  */
 
-/** Names of the headers, in lower case as Node's `http` reports them. */
+/** Header names, in lower case as in the `headers` of Node's `http`. */
 export const HEADERS = {
-  /** Outcome of the request, to callers. */
+  /** To callers: the outcome of the request. */
   outcome: "bamboolink-outcome",
-  /** Why a request was not done, one short word, to callers. */
+  /** To callers: a one-word reason why the request was not done. */
   reason: "bamboolink-reason",
-  /** Identity of the request; taken from the caller or made. */
+  /** Id of the request, taken from the caller or else generated. */
   requestId: "bamboolink-request-id",
-  /** Address of the owner's daemon, so that the next request for the key can go there directly. */
+  /** To callers: address of the owner's daemon, to which the next request for the key can be sent directly. */
   owner: "bamboolink-owner",
-  /** Milliseconds that are left of the request's time, from callers and to backend servers. */
+  /** From callers and to backend servers: milliseconds until the deadline of the request. */
   deadlineMs: "bamboolink-deadline-ms",
-  /** A caller's own name for one logical request, kept over its resends. */
+  /** From callers: the caller's id of one logical request, the same in all its retries. */
   idempotencyKey: "idempotency-key",
-  /** Partition of the key, to backend servers. */
+  /** To backend servers: the partition of the key. */
   partition: "bamboolink-partition",
-  /** Fencing token of the assignment under which the request is handed over, to backend servers. */
+  /** To backend servers: fencing token of the assignment under which the request is dispatched. */
   fencingToken: "bamboolink-fencing-token",
-  /** Reading of CLOCK_MONOTONIC, in milliseconds, after which the grant has ended. */
+  /** To backend servers: expiry of the grant as a reading of CLOCK_MONOTONIC, in milliseconds. */
   grantExpires: "bamboolink-grant-expires",
-  /** `1` in an answer of a backend server that refused a token or an expired grant and ran nothing. */
+  /** `1` in the response of a backend server that rejected a token or an expired grant and ran nothing. */
   fenced: "bamboolink-fenced",
-  /** `1` where the caller says that it has not sent this request before. */
+  /** From callers: `1` if the caller has not sent this request before. */
   firstAttempt: "bamboolink-first-attempt",
-  /** Marks a request that one daemon forwards to another: the forwarder's session. */
+  /** Marks a request that one daemon forwards to another; holds the session of the forwarding daemon. */
   forwardedBy: "bamboolink-forwarded-by",
 } as const;
 
 /**
- * What became of a request.
+ * Outcome of a request.
  *
- * - `done`: the backend server answered, and this is its whole answer.
- * - `not_run`: refused before any byte can have reached a backend server.
- * - `unknown`: it may or may not have run.
- * - `cancelled`: the caller gave up, and the backend server was told.
+ * - `done`: the backend server responded, and this is its complete response.
+ * - `not_run`: the request was refused before any byte can have reached a backend server.
+ * - `unknown`: the request may or may not have run.
+ * - `cancelled`: the caller cancelled the request, and the backend server was notified.
  */
 export type Outcome = "done" | "not_run" | "unknown" | "cancelled";
 
-/** Body of every answer that bamboolink makes itself, as `application/json`. */
+/** Body of every response that bamboolink itself generates, as `application/json`. */
 export interface OutcomeBody {
   readonly outcome: Outcome;
   readonly reason: string;
   readonly message: string;
   readonly request_id: string;
-  /** When to come back, in milliseconds; absent where coming back would not help. */
+  /** Delay before a retry, in milliseconds; absent if a retry would not help. */
   readonly retry_after_ms?: number;
 }
--- a/packages/types/src/mod.ts
+++ b/packages/types/src/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The shapes that cross a boundary: configuration document, sessions, ownership table, announcements
- * and headers. Each shape is a schema; its TypeScript type is inferred from it.
+ * Schemas of the data that processes exchange or store, and the TypeScript types inferred from them:
+ * configuration documents, store records, the ownership table, announcements and headers.
  *
  * @module
  */
--- a/packages/types/src/session.ts
+++ b/packages/types/src/session.ts
@@ -1,14 +1,17 @@
 /**
- * The record of one session: one life of one daemon, as the store holds it.
+ * Schemas of the store's records of sessions, of the elected planner and of requests to drain a host. A
+ * session is one incarnation of one daemon.
  *
  * @module
  */
 import { z } from "zod";
 
 /**
+ * State of a session.
+ *
  * - `open`: the session may serve while it holds promises from a quorum of its witnesses.
- * - `sealed`: it is being ended. It can't change its witnesses, and is assigned nothing any more.
- * - `ended`: it is certain that it can never serve again, and neither can a promise of its own hold.
+ * - `sealed`: the session is being ended. It can't change its witnesses and gets no further assignments.
+ * - `ended`: the session can certainly never serve again, and no promise that it gave is still in force.
  */
 export const SessionState = z.enum(["open", "sealed", "ended"]);
 /** State of a session. */
@@ -16,52 +19,52 @@
 
 /** One session record. */
 export const SessionRecord = z.strictObject({
-  /** `host~incarnation`; never used again. */
+  /** `host~incarnation`; never reused. */
   id: z.string().min(1),
   host: z.string().min(1),
   region: z.string(),
   availability_zone: z.string(),
-  /** Where other daemons reach it, `address:port`. */
+  /** `address:port` to which other daemons connect. */
   control_address: z.string(),
-  /** Where callers and forwarding daemons reach it, `address:port`. */
+  /** `address:port` to which callers and forwarding daemons connect. */
   data_address: z.string(),
   service: z.string(),
   slots: z.int().min(1),
   checks_fencing: z.boolean(),
-  /** The longest time that work handed over may still run, in milliseconds. */
+  /** Maximum time for which a dispatched request may still run, in milliseconds. */
   longest_work_ms: z.int().min(0),
   draining: z.boolean(),
   state: SessionState,
-  /** Identities of the sessions that promise for this one. */
+  /** Ids of the sessions that give promises to this one. */
   witnesses: z.array(z.string()),
   /**
-   * Identities of earlier sessions of which this one vouches that their process has ended: it holds
-   * their address on their host, and only one process can listen there.
+   * Ids of earlier sessions whose process has certainly ended, because this session listens at their
+   * address on their host and only one process can do so.
    */
   replaces: z.array(z.string()),
-  /** An operator's word that the host is off; see `bamboolink declare-lost`. */
+  /** Whether an operator has declared that the host is switched off; see `bamboolink declare-lost`. */
   declared_lost: z.boolean(),
-  /** Wall-clock time of the start, in milliseconds since 1970, for people only. */
+  /** Wall-clock time of the start, in milliseconds since 1970; for display only. */
   started_at_ms: z.int(),
-  /** Why it was sealed, for people. */
+  /** Why the session was sealed; for display only. */
   sealed_reason: z.string(),
 });
 /** One session record. */
 export type SessionRecord = z.infer<typeof SessionRecord>;
 
-/** The record by which one daemon is the planner. */
+/** Names the session of the daemon that is elected as planner. */
 export const PlannerRecord = z.strictObject({
   session: z.string(),
   elected_at_ms: z.int(),
 });
-/** The record by which one daemon is the planner. */
+/** The record of the elected planner. */
 export type PlannerRecord = z.infer<typeof PlannerRecord>;
 
-/** An operator's request that a host gives up its keys. */
+/** An operator's request that a host releases its keys. */
 export const DrainRecord = z.strictObject({
   host: z.string(),
   author: z.string(),
   requested_at_ms: z.int(),
 });
-/** An operator's request that a host gives up its keys. */
+/** An operator's request to drain a host. */
 export type DrainRecord = z.infer<typeof DrainRecord>;
--- a/packages/types/src/store_keys.ts
+++ b/packages/types/src/store_keys.ts
@@ -1,20 +1,20 @@
 /**
- * Names of the records in the platform's store.
+ * Keys of bamboolink's records in the platform's store.
  *
  * @module
  */
 
-/** Every record of bamboolink has this prefix. */
+/** Prefix of the keys of all records. */
 export const KEY_PREFIX = "/bamboolink/";
-/** The configuration record. */
+/** Key of the configuration record. */
 export const CONFIGURATION_KEY = `${KEY_PREFIX}configuration`;
-/** The record of the elected planner, held by a store lease. */
+/** Key of the record of the elected planner, which is attached to a store lease. */
 export const PLANNER_KEY = `${KEY_PREFIX}planner`;
-/** Prefix of all session records. */
+/** Prefix of the keys of all session records. */
 export const SESSION_PREFIX = `${KEY_PREFIX}sessions/`;
-/** Prefix of all shards of the ownership table. */
+/** Prefix of the keys of all shards of the ownership table. */
 export const TABLE_PREFIX = `${KEY_PREFIX}table/`;
-/** Prefix of operators' requests to drain a host. */
+/** Prefix of the keys of operators' requests to drain a host. */
 export const DRAIN_PREFIX = `${KEY_PREFIX}drains/`;
 
 /** Key of the record of one session. */
@@ -22,7 +22,7 @@
   return SESSION_PREFIX + sessionId;
 }
 
-/** Key of the shard of a service's ownership table that begins with partition `first`. */
+/** Key of the shard of a service's ownership table whose lowest partition is `first`. */
 export function tableKey(service: string, first: number): string {
   return `${TABLE_PREFIX}${service}/${first}`;
 }
--- a/packages/types/src/store_position.ts
+++ b/packages/types/src/store_position.ts
@@ -1,40 +1,51 @@
 /**
- * One order for everything that the store says, also when it comes back from an older copy of itself.
+ * Combines the store's era and revision into one number that keeps rising when the store is restored from an older
+ * snapshot.
  *
- * A store that went back gives out revisions again. Whoever compared them alone would take all changes since for older
- * than what it knows. So a revision counts within its era: the store's own count of how often it went back.
+ * A restored store issues the same revisions again. Comparing revisions alone would make every later change look older
+ * than the records already known. A revision is therefore compared within its era, which is the store's own count of
+ * its restores.
  *
  * @module
  */
 
 /**
- * How many revisions an era is ahead of the one before. It must be more than a store can lose by going back; the
- * products that fencing tokens and seals are made of must stay exact as numbers: 2^53 over the 2^16 names of seals of one
- * revision leaves 2^37, for 2,000 eras and more writes than a century brings.
+ * Distance between two successive eras, in revisions. It must exceed the number of revisions that a restore can lose.
+ * Fencing tokens and seal identifiers are products of the combined number and must stay exact integers: 2^53 divided by
+ * the 2^16 seal identifiers of one revision leaves 2^37, enough for 2,000 eras and for more writes than occur in a
+ * century.
  */
 const REVISIONS_PER_ERA = 2 ** 26;
 
-/** Where the store stood at a moment. */
+/** A point in the history of the store. */
 export interface StorePosition {
-  /** How often the store had gone back. */
+  /** How often the store had been restored from an older snapshot. */
   readonly era: number;
-  /** The store's own count of its changes. */
+  /** The store's own revision number; 0 for a record that does not exist. */
   readonly revision: number;
 }
 
-/** A number that rises with each change and over eras; 0 for what is not there. */
+/**
+ * Converts a position to a monotonic revision, which rises with every change, also across eras.
+ *
+ * @returns the monotonic revision, or 0 for revision 0 (no record).
+ */
 export function toMonotonicRevision({ era, revision }: StorePosition): number {
   return revision === 0 ? 0 : era * REVISIONS_PER_ERA + revision;
 }
 
-/** The store's own revision by its order in an era; `undefined` for one of an earlier era. */
+/**
+ * Converts a monotonic revision back to the store's own revision in the given era.
+ *
+ * @returns the store's revision, 0 for 0, or `undefined` for a revision of an earlier era.
+ */
 export function toStoreRevision(
-  order: number,
+  monotonicRevision: number,
   era: number,
 ): number | undefined {
-  if (order === 0) {
+  if (monotonicRevision === 0) {
     return 0;
   }
-  const revision = order - era * REVISIONS_PER_ERA;
+  const revision = monotonicRevision - era * REVISIONS_PER_ERA;
   return revision > 0 ? revision : undefined;
 }
--- a/packages/types/src/traffic.ts
+++ b/packages/types/src/traffic.ts
@@ -1,6 +1,7 @@
 /**
- * The traffic configuration of a router: which requests belong to which service, and how long they may
- * take. It is decoded from the operators' document at the edge; nothing inside knows its source format.
+ * Schemas of the router's traffic configuration, which maps requests to services and limits how long they
+ * may take. It is decoded from the operators' document at the edge, so that no other code depends on the
+ * format of that document.
  *
  * @module
  */
@@ -20,57 +21,59 @@
   name: z.string(),
   /** Host name without a port, in lower case. */
   host: z.string().min(1),
-  /** Begins and ends with a slash. */
+  /** Path prefix that begins and ends with a slash. */
   prefix: z.string().startsWith("/").endsWith("/"),
   /** Whether a request may run more than once. */
   idempotent: z.boolean(),
-  /** The longest time a caller is kept waiting, in milliseconds. */
+  /** Maximum time for which a caller waits, in milliseconds. */
   timeoutMs: z.number().positive(),
   /** The latency objective, in milliseconds. */
   objectiveMs: z.number().positive(),
-  /** The most backend servers one request may be sent to. */
+  /** Maximum number of backend servers to which one request may be sent. */
   maximumAttempts: z.int().min(1),
-  /** 0 is the most urgent. */
+  /** Priority rank; 0 is the most urgent. */
   rank: z.int().min(0),
   targets: z.array(RouteTarget).min(1),
 });
 /** The requests of one host below one path prefix. */
 export type TrafficRoute = z.infer<typeof TrafficRoute>;
 
-/** A service as the router sees it. */
+/** The router's configuration of one service. */
 export const TrafficService = z.object({
   name: z.string().min(1),
   /** Whether each key has exactly one owner among the backend servers. */
   keyed: z.boolean(),
-  /** The most connections one backend server takes from all its clients. */
+  /** Maximum number of connections that one backend server accepts from all its clients. */
   maximumConnections: z.int().min(1),
   /** Path of the health check. */
   healthPath: z.string().startsWith("/"),
-  /** Requests a second that a cold backend server bears; not known without it. */
+  /** Requests per second that a cold backend server can handle; absent if not known. */
   coldRequestsPerSecond: z.number().min(0).optional(),
 });
-/** A service as the router sees it. */
+/** The router's configuration of one service. */
 export type TrafficService = z.infer<typeof TrafficService>;
 
-/** Bounds on what a caller may send. */
+/** Limits on the size and the timing of what a caller sends. */
 export const CallerLimits = z.object({
+  /** Maximum size of the request's header block. */
   headerBytes: z.int().min(1),
+  /** Maximum size of the request's body. */
   bodyBytes: z.int().min(0),
-  /** How long a caller may take to send its headers, in milliseconds. */
+  /** Maximum time for a caller to send the headers of a request, in milliseconds. */
   headerTimeoutMs: z.number().positive(),
-  /** How long a caller's connection may be idle, in milliseconds. */
+  /** Maximum idle time of a caller's connection, in milliseconds. */
   idleTimeoutMs: z.number().positive(),
 });
-/** Bounds on what a caller may send. */
+/** Limits on what a caller sends. */
 export type CallerLimits = z.infer<typeof CallerLimits>;
 
-/** One version of the whole traffic configuration. */
+/** One version of the complete traffic configuration. */
 export const TrafficConfiguration = z.object({
-  /** Grows with each change; a lower one is never put in force after a higher one. */
+  /** Increases with each change; a version is never applied after a higher one. */
   version: z.number().min(0),
   routes: z.array(TrafficRoute),
   services: z.array(TrafficService),
   limits: CallerLimits,
 });
-/** One version of the whole traffic configuration. */
+/** One version of the complete traffic configuration. */
 export type TrafficConfiguration = z.infer<typeof TrafficConfiguration>;
