--- a/packages/errors/src/bamboolink_error.ts
+++ b/packages/errors/src/bamboolink_error.ts
@@ -1,21 +1,21 @@
 /**
- * The one error class of the product and its codes.
+ * The error class of bamboolink and its error codes.
  *
  * @module
  */
 
 /**
- * What kind of failure it was. Codes are stable: scripts and alarms may depend on them.
+ * Kind of a failure. Codes are stable: scripts and alerts may depend on them.
  *
  * - `invalid`: the input does not have the expected shape; nothing was done.
- * - `not_found`: what was asked for does not exist.
- * - `conflict`: somebody else changed the same thing first.
- * - `refused`: the peer said no, and surely did nothing.
+ * - `not_found`: the requested item does not exist.
+ * - `conflict`: a concurrent change of the same item came first.
+ * - `refused`: the peer rejected the request, which certainly had no effect.
  * - `unreachable`: no byte of the request can have reached the peer.
- * - `unknown_effect`: the request may have taken effect; read back before deciding.
+ * - `unknown_effect`: the request may have taken effect; read the current state before deciding.
  * - `timeout`: the deadline passed.
- * - `overloaded`: a limit was reached; come back later.
- * - `internal`: a fault of bamboolink itself.
+ * - `overloaded`: a limit was reached; retry later.
+ * - `internal`: a fault in bamboolink itself.
  */
 export type ErrorCode =
   | "invalid"
@@ -28,23 +28,23 @@
   | "overloaded"
   | "internal";
 
-/** Where an error arose. */
+/** Where an error occurred. */
 export interface ErrorDetails {
-  /** The step of the work, in the form `part.step`, for example `store.compare_and_swap`. */
+  /** The operation that failed, in the form `component.operation`, for example `store.compare_and_swap`. */
   readonly step: string;
-  /** The peer that was being spoken to, usually `address:port`; absent for purely local steps. */
+  /** The remote peer, usually as `address:port`; absent for purely local steps. */
   readonly peer?: string;
-  /** The error underneath. */
+  /** The underlying error. */
   readonly cause?: unknown;
 }
 
-/** An error that carries its code, its step and its peer. */
+/** An error with a stable code, the step at which it occurred and the peer involved. */
 export class BamboolinkError extends Error {
-  /** The stable kind of the failure. */
+  /** Kind of the failure. */
   readonly code: ErrorCode;
-  /** The step at which it arose. */
+  /** The operation that failed, in the form `component.operation`. */
   readonly step: string;
-  /** The peer at which it arose, if a peer was involved. */
+  /** The remote peer, if one was involved. */
   readonly peer: string | undefined;
 
   private constructor(code: ErrorCode, message: string, details: ErrorDetails) {
@@ -58,7 +58,7 @@
     this.peer = details.peer;
   }
 
-  /** Creates an error of the given kind. */
+  /** Creates an error with the given code, message and origin. */
   static create(
     code: ErrorCode,
     message: string,
@@ -67,14 +67,14 @@
     return new BamboolinkError(code, message, details);
   }
 
-  /** One line for people: what happened, at which step, with which peer. */
+  /** Returns one line with the message, the code, the step and the peer, if any. */
   describe(): string {
     const peer = this.peer === undefined ? "" : ` with ${this.peer}`;
     return `${this.message} (${this.code} at ${this.step}${peer})`;
   }
 }
 
-/** Describes whatever was thrown in one line, for logs and messages. */
+/** Describes any thrown value in one line, for log lines and messages. */
 export function describeCause(cause: unknown): string {
   if (cause instanceof BamboolinkError) {
     return cause.describe();
--- a/packages/errors/src/mod.ts
+++ b/packages/errors/src/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Errors of bamboolink. Each names the step at which it arose and the peer that was being spoken to,
- * so that one log line is enough to know where to look.
+ * Errors of bamboolink. Each names the step at which it occurred and the remote peer, so that one log
+ * line is enough to locate the fault.
  *
  * @module
  */
--- a/packages/metrics/src/metrics.ts
+++ b/packages/metrics/src/metrics.ts
@@ -1,23 +1,27 @@
 /**
- * The metrics of one process.
+ * Collects the metrics of one process. `prom-client` holds counters and gauges, `hdr-histogram-js` holds
+ * latencies.
  *
  * @module
  */
 import { build, type Histogram } from "hdr-histogram-js";
 import { Counter, Gauge, Registry } from "prom-client";
 
-/** Names and values that tell the series of one metric apart. */
+/** Label names and values, which distinguish the time series of one metric. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** One series of a counter. */
+/** Current value of one time series of a counter. */
 export interface CounterValue {
   readonly name: string;
   readonly labels: Labels;
   readonly value: number;
 }
 
-/** Latencies are kept from 1 microsecond to 10 minutes, to three digits. */
-const HIGHEST_MICROSECONDS = 600_000_000;
+/**
+ * Maximum latency that is recorded, in microseconds. Latencies are recorded from 1 microsecond to 10 minutes with 2
+ * significant digits.
+ */
+const MAX_LATENCY_MICROSECONDS = 600_000_000;
 const QUANTILES = [0.5, 0.9, 0.99, 0.999, 1] as const;
 
 interface LatencySeries {
@@ -25,7 +29,7 @@
   readonly histogram: Histogram;
 }
 
-/** Collects metrics and writes them as text. */
+/** Collects metrics and renders them as text. */
 export class Metrics {
   private readonly registry = new Registry();
   private readonly counters = new Map<string, Counter>();
@@ -34,17 +38,17 @@
 
   private constructor() {}
 
-  /** Creates an empty collection. */
+  /** Creates a collection without metrics. */
   static create(): Metrics {
     return new Metrics();
   }
 
-  /** Adds to a counter. */
+  /** Increments a counter by `by`. The first call for a name sets the label names of the counter. */
   count(name: string, labels: Labels = {}, by = 1): void {
     const known = this.counters.get(name);
     const counter = known ?? new Counter({
       name,
-      help: helpOf(name),
+      help: helpTextOf(name),
       labelNames: Object.keys(labels),
       registers: [this.registry],
     });
@@ -52,11 +56,11 @@
     counter.inc(labels, by);
   }
 
-  /** Reads a gauge's value anew at each scrape. */
+  /** Registers a gauge, whose value is read at each scrape. */
   gauge(name: string, read: () => number): void {
     const gauge = new Gauge({
       name,
-      help: helpOf(name),
+      help: helpTextOf(name),
       registers: [this.registry],
       collect() {
         this.set(read());
@@ -65,25 +69,25 @@
     this.gauges.set(name, gauge);
   }
 
-  /** Records a latency in milliseconds. */
+  /** Records a latency in milliseconds, clamped to the range from 1 microsecond to 10 minutes. */
   recordLatency(name: string, milliseconds: number, labels: Labels = {}): void {
     const series = this.latencySeries(name, labels);
     const microseconds = Math.max(
       1,
-      Math.min(HIGHEST_MICROSECONDS, Math.round(milliseconds * 1_000)),
+      Math.min(MAX_LATENCY_MICROSECONDS, Math.round(milliseconds * 1_000)),
     );
     series.histogram.recordValue(microseconds);
   }
 
-  /** Writes all metrics in the text format for scrapers. */
+  /** Renders all metrics in the Prometheus text format; latencies are in seconds. */
   async render(): Promise<string> {
     const latencies = [...this.latencies].flatMap(([name, series]) =>
-      writeLatency(name, [...series.values()])
+      renderLatency(name, [...series.values()])
     );
     return [await this.registry.metrics(), ...latencies].join("\n") + "\n";
   }
 
-  /** All counters as plain data, for bamboolink's own reports. */
+  /** Returns all time series of all counters as plain data, for bamboolink's own reports. */
   async readCounters(): Promise<CounterValue[]> {
     const all = await Promise.all(
       [...this.counters].map(async ([name, counter]) => {
@@ -107,7 +111,7 @@
       labels,
       histogram: build({
         lowestDiscernibleValue: 1,
-        highestTrackableValue: HIGHEST_MICROSECONDS,
+        highestTrackableValue: MAX_LATENCY_MICROSECONDS,
         numberOfSignificantValueDigits: 2,
       }),
     };
@@ -116,27 +120,31 @@
   }
 }
 
-function helpOf(name: string): string {
+function helpTextOf(name: string): string {
   return name.replaceAll("_", " ");
 }
 
-function writeLatency(name: string, all: readonly LatencySeries[]): string[] {
+function renderLatency(name: string, all: readonly LatencySeries[]): string[] {
   const lines = all.flatMap(({ labels, histogram }) => [
     ...QUANTILES.map((quantile) => {
       const seconds = histogram.getValueAtPercentile(quantile * 100) / 1e6;
       return `${name}${
-        writeLabels({ ...labels, quantile: String(quantile) })
+        renderLabels({ ...labels, quantile: String(quantile) })
       } ${seconds}`;
     }),
-    `${name}_count${writeLabels(labels)} ${histogram.totalCount}`,
-    `${name}_sum${writeLabels(labels)} ${
+    `${name}_count${renderLabels(labels)} ${histogram.totalCount}`,
+    `${name}_sum${renderLabels(labels)} ${
       (histogram.mean * histogram.totalCount) / 1e6
     }`,
   ]);
-  return [`# HELP ${name} ${helpOf(name)}`, `# TYPE ${name} summary`, ...lines];
+  return [
+    `# HELP ${name} ${helpTextOf(name)}`,
+    `# TYPE ${name} summary`,
+    ...lines,
+  ];
 }
 
-function writeLabels(labels: Labels): string {
+function renderLabels(labels: Labels): string {
   const pairs = Object.entries(labels).map(([name, value]) =>
     `${name}=${JSON.stringify(value)}`
   );
--- a/packages/metrics/src/mod.ts
+++ b/packages/metrics/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Counters, gauges and latency percentiles in the text format that scrapers read.
+ * Counters, gauges and latency percentiles, rendered in the Prometheus text format.
  *
  * @module
  */
--- a/packages/settings/src/mod.ts
+++ b/packages/settings/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Settings from flags and environment variables.
+ * Reads settings from flags and environment variables.
  *
  * @module
  */
--- a/packages/settings/src/settings.ts
+++ b/packages/settings/src/settings.ts
@@ -1,6 +1,6 @@
 /**
  * Reads settings from flags (`--data-port 8080`, `--data-port=8080`) and environment variables
- * (`BAMBOOLINK_DATA_PORT`), a flag before a variable, and checks them against a schema.
+ * (`BAMBOOLINK_DATA_PORT`) and validates them against a schema. Flags take precedence over variables.
  *
  * @module
  */
@@ -8,41 +8,42 @@
 import { err, ok, type Result } from "neverthrow";
 import { z } from "zod";
 
-/** All problems with the settings, one line each, each naming the setting. */
+/** All problems with the settings, one line each; a line names its setting. */
 export class SettingsError extends Error {
   private constructor(readonly problems: readonly string[]) {
     super(problems.join("\n"));
     this.name = "SettingsError";
   }
 
-  /** Creates an error from its problems. */
+  /** Creates an error from descriptions of the problems, one line each. */
   static create(problems: readonly string[]): SettingsError {
     return new SettingsError(problems);
   }
 }
 
-/** One setting, for `--help` and for the operators' page. */
+/** One setting, as listed by `--help` and in `docs/SETTINGS.md`. */
 export interface SettingDescription {
   readonly flag: string;
   readonly variable: string;
   readonly meaning: string;
+  /** The default value, `none`, or `required` where a value must be set. */
   readonly defaultValue: string;
 }
 
-type Shape = z.ZodObject<Record<string, z.ZodType>>;
+type SettingsSchema = z.ZodObject<Record<string, z.ZodType>>;
 
-/** Flag of a setting: `data_port` becomes `--data-port`. */
+/** Converts `data_port` to `--data-port`. */
 function flagOf(name: string): string {
   return "--" + name.replaceAll("_", "-");
 }
 
-/** Environment variable of a setting: `data_port` becomes `BAMBOOLINK_DATA_PORT`. */
+/** Converts `data_port` to `BAMBOOLINK_DATA_PORT`. */
 function variableOf(name: string): string {
   return "BAMBOOLINK_" + name.toUpperCase();
 }
 
-/** Describes each setting of a schema; meanings come from the schema's `describe`. */
-export function describeSettings(schema: Shape): SettingDescription[] {
+/** Describes each setting of a schema; the meanings are those set by zod's `describe`. */
+export function describeSettings(schema: SettingsSchema): SettingDescription[] {
   return Object.entries(schema.shape).map(([name, type]) => {
     const parsed = type.safeParse(undefined);
     return {
@@ -55,11 +56,11 @@
 }
 
 /**
- * Reads the settings of one process.
+ * Reads the settings of one process from the given arguments and environment.
  *
- * @returns the checked settings, or an error with a line for each wrong setting.
+ * @returns the validated settings, or an error with one line for each invalid setting.
  */
-export function readSettings<S extends Shape>(
+export function readSettings<S extends SettingsSchema>(
   schema: S,
   source: {
     arguments: readonly string[];
@@ -94,7 +95,7 @@
 
 function readFlags(
   names: readonly string[],
-  given: readonly string[],
+  args: readonly string[],
 ): Result<Record<string, string | undefined>, SettingsError> {
   const options = Object.fromEntries(
     names.map((
@@ -103,7 +104,7 @@
   );
   try {
     const { values } = parseArgs({
-      args: [...given],
+      args: [...args],
       options,
       strict: true,
       allowPositionals: false,
@@ -140,30 +141,31 @@
   }): ${issue.message}; ${value}`;
 }
 
-/** What a process says of itself in `--help`. */
+/** Name and purpose of a process, as shown by `--help`. */
 export interface ToolDescription {
   readonly name: string;
   readonly purpose: string;
 }
 
-/** Exit code for a wrong setting or input file. */
+/** Exit code for an invalid setting or input file. */
 export const EXIT_INVALID = 2;
 
 /**
- * Reads the settings of a process from its own flags and environment. `--help` prints the settings and
- * ends it; a wrong setting is named and ends it with `EXIT_INVALID`.
+ * Reads the settings from the flags and the environment of this process. With `--help` it prints the
+ * settings and exits with code 0; if a setting is invalid, it prints the problems to standard error and
+ * exits with `EXIT_INVALID`.
  */
-export function readSettingsOrExit<S extends Shape>(
+export function readSettingsOrExit<S extends SettingsSchema>(
   schema: S,
   tool: ToolDescription,
 ): z.infer<S> {
-  const given = process.argv.slice(2);
-  if (given.includes("--help")) {
-    process.stdout.write(writeHelp(schema, tool));
+  const args = process.argv.slice(2);
+  if (args.includes("--help")) {
+    process.stdout.write(formatHelp(schema, tool));
     process.exit(0);
   }
   const settings = readSettings(schema, {
-    arguments: given,
+    arguments: args,
     environment: process.env,
   });
   if (settings.isErr()) {
@@ -173,7 +175,7 @@
   return settings.value;
 }
 
-function writeHelp(schema: Shape, tool: ToolDescription): string {
+function formatHelp(schema: SettingsSchema, tool: ToolDescription): string {
   const settings = describeSettings(schema);
   const width = Math.max(...settings.map(({ flag }) => flag.length));
   const lines = settings.map(({ flag, variable, meaning, defaultValue }) =>
--- a/packages/settings/src/settings_test.ts
+++ b/packages/settings/src/settings_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of settings: where they come from, and errors that name them.
+ * Tests of the sources, the error messages and the descriptions of settings.
  *
  * @module
  */
@@ -14,15 +14,15 @@
 });
 
 function read(
-  given: string[],
+  args: string[],
   environment: Record<string, string | undefined> = {},
 ) {
-  return readSettings(schema, { arguments: given, environment });
+  return readSettings(schema, { arguments: args, environment });
 }
 
 describe("settings", () => {
   describe("sources", () => {
-    it("take a flag before a variable before the default", () => {
+    it("take precedence in the order flag, environment variable, default", () => {
       const environment = { BAMBOOLINK_HOST: "b", BAMBOOLINK_DATA_PORT: "9" };
       expect(read(["--host=a"], environment)._unsafeUnwrap()).to.deep.equal({
         host: "a",
@@ -33,7 +33,7 @@
   });
 
   describe("errors", () => {
-    it("name every wrong setting, what was expected and what was given", () => {
+    it("name every invalid setting, the expected value and the actual one", () => {
       const { problems } = read(["--data-port", "x"])._unsafeUnwrapErr();
       expect(problems).to.deep.equal([
         'setting --data-port (or BAMBOOLINK_DATA_PORT): expected a port; it is "x"',
