--- a/packages/logger/src/logger.ts
+++ b/packages/logger/src/logger.ts
@@ -1,25 +1,25 @@
 /**
- * Writes numbered events through `consola`, for people or as one JSON object a line.
+ * Writes numbered events through `consola`, as readable text or as one JSON object per line.
  *
  * @module
  */
 import { type ConsolaInstance, createConsola } from "consola/core";
 import { describeCause } from "@bamboolink/errors";
 import { type EventName, EVENTS } from "./events.ts";
-import { LineBudget } from "./line_budget.ts";
-import { LineWriter } from "./line_writer.ts";
+import { LineRateLimiter } from "./line_rate_limiter.ts";
+import { NonBlockingLineWriter } from "./non_blocking_line_writer.ts";
 
-/** How log lines are written. */
+/** Format of log lines: readable text or JSON. */
 export type LogFormat = "human" | "json";
 
-/** Fields of an event; `cause` may be any thrown value. */
+/** Fields of an event. `cause` may be any thrown value and is written as one line of text. */
 export type EventFields = Readonly<Record<string, unknown>>;
 
 const SEVERITY_LEVELS = { error: 0, warn: 1, info: 3, debug: 4 } as const;
 
-/** Writes events of one process. */
+/** Writes the log events of one process. */
 export class Logger {
-  private budget: LineBudget | undefined;
+  private lineRateLimiter: LineRateLimiter | undefined;
 
   private constructor(
     private readonly consola: ConsolaInstance,
@@ -28,26 +28,34 @@
   ) {}
 
   /**
-   * Creates a logger that writes JSON lines to standard output, never waits for their reader, and writes
-   * a bounded number of lines of each event.
+   * Creates a logger that writes JSON lines to standard output without blocking on their reader and limits
+   * the rate of the lines of each event.
+   *
+   * @param process name that is written in each line.
+   * @param options `level` is the lowest severity that is written.
    */
   static createRateLimited(
     process: string,
     options: { level: keyof typeof SEVERITY_LEVELS },
   ): Logger {
-    const writer = LineWriter.create(1);
+    const writer = NonBlockingLineWriter.create(1);
     const consola = createConsola({
       level: SEVERITY_LEVELS[options.level],
       reporters: [{
-        log: (entry: LogEntry) => void writer.write(writeJson(entry)),
+        log: (entry: LogEntry) => void writer.write(formatJson(entry)),
       }],
     });
     const logger = new Logger(consola, "json", process);
-    logger.budget = LineBudget.create();
+    logger.lineRateLimiter = LineRateLimiter.create();
     return logger;
   }
 
-  /** Creates a logger for one process; `level` is the least severity that is written. */
+  /**
+   * Creates a logger that writes all lines to standard error.
+   *
+   * @param process name that is written in each line.
+   * @param options `level` is the lowest severity that is written.
+   */
   static create(
     process: string,
     options: { format: LogFormat; level: keyof typeof SEVERITY_LEVELS },
@@ -61,25 +69,28 @@
     return new Logger(consola, options.format, process);
   }
 
-  /** Writes one event. Its number, name and severity come from the catalogue. */
+  /** Writes one event with the number, name and severity that `EVENTS` defines. */
   log(event: EventName, fields: EventFields = {}): void {
     const definition = EVENTS[event];
     if (SEVERITY_LEVELS[definition.severity] > this.consola.level) {
       return;
     }
-    const allowed = this.budget?.take(event, performance.now());
+    const allowed = this.lineRateLimiter?.take(event, performance.now());
     if (allowed?.mayWrite === false) {
       return;
     }
-    if (allowed !== undefined && allowed.leftOut > 0) {
-      this.write("log_lines_left_out", { of: event, count: allowed.leftOut });
+    if (allowed !== undefined && allowed.suppressedLines > 0) {
+      this.write("log_lines_left_out", {
+        of: event,
+        count: allowed.suppressedLines,
+      });
     }
     this.write(event, fields);
   }
 
   private write(event: EventName, fields: EventFields): void {
     const definition = EVENTS[event];
-    const plain = Object.fromEntries(
+    const printableFields = Object.fromEntries(
       Object.entries(fields).map((
         [name, value],
       ) => [name, name === "cause" ? describeCause(value) : value]),
@@ -89,12 +100,12 @@
         event: definition.number,
         name: event,
         process: this.process,
-        ...plain,
+        ...printableFields,
       };
       this.consola[definition.severity](line);
       return;
     }
-    const pairs = Object.entries(plain).map(([name, value]) =>
+    const pairs = Object.entries(printableFields).map(([name, value]) =>
       `${name}=${JSON.stringify(value)}`
     );
     const line = `BL${definition.number} ${event} [${this.process}] ${
@@ -112,11 +123,11 @@
 
 const JSON_REPORTER = {
   log(entry: LogEntry): void {
-    globalThis.process.stderr.write(writeJson(entry));
+    globalThis.process.stderr.write(formatJson(entry));
   },
 };
 
-function writeJson(entry: LogEntry): string {
+function formatJson(entry: LogEntry): string {
   const fields = entry.args[0] as Record<string, unknown>;
   const line = {
     time: entry.date.toISOString(),
--- a/packages/logger/src/mod.ts
+++ b/packages/logger/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Log events. Each has a number that never changes; `docs/EVENTS.md` is their catalogue.
+ * Writes log events. Each event has a number that never changes; `docs/EVENTS.md` lists them all.
  *
  * @module
  */
