--- a/packages/logger/src/line_rate_limiter.ts
+++ b/packages/logger/src/line_rate_limiter.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-/** Sustained lines per second of one event. The limit is per event, so that frequent events never suppress rare ones. */
+/** Sustained rate of one event. The limit is per event, so that frequent events never suppress rare ones. */
 const LINES_PER_SECOND = 20;
 /** Capacity of the token bucket of one event, in lines. */
 const MAX_BURST_LINES = 60;
--- a/packages/types/src/configuration.ts
+++ b/packages/types/src/configuration.ts
@@ -103,7 +103,7 @@
   note: z.string().max(2_000),
   /** Wall-clock time of the apply, in milliseconds since 1970; for display only. */
   applied_at_ms: z.int(),
-  /** Identifies one attempt to apply, so that the outcome is known after the store's response was lost. */
+  /** Identifies one attempt to apply, so that its outcome can be determined if the response was lost. */
   attempt: z.string(),
   document: ConfigurationDocument,
 });
--- a/packages/types/src/session.ts
+++ b/packages/types/src/session.ts
@@ -52,7 +52,7 @@
 /** One session record. */
 export type SessionRecord = z.infer<typeof SessionRecord>;
 
-/** Names the session of the daemon that is elected as planner. */
+/** The record of the elected planner, which names the session of its daemon. */
 export const PlannerRecord = z.strictObject({
   session: z.string(),
   elected_at_ms: z.int(),
@@ -60,7 +60,7 @@
 /** The record of the elected planner. */
 export type PlannerRecord = z.infer<typeof PlannerRecord>;
 
-/** An operator's request that a host releases its keys. */
+/** An operator's request that a host release its keys. */
 export const DrainRecord = z.strictObject({
   host: z.string(),
   author: z.string(),
