--- a/packages/keyspace/src/testing/ownership_simulation.ts
+++ b/packages/keyspace/src/testing/ownership_simulation.ts
@@ -27,7 +27,7 @@
   TAKEOVER_WAIT_MS,
   TakeoverTimers,
 } from "../mod.ts";
-import { orderRevision } from "@bamboolink/types";
+import { toMonotonicRevision } from "@bamboolink/types";
 
 /** A broken variant of one rule or assumption. */
 export type Fault =
@@ -129,7 +129,7 @@
 /** Maximum number of changes that the store loses in a rollback. */
 const MAX_LOST_SNAPSHOTS = 6;
 /** Distance of the revisions of consecutive eras in the order across all eras. */
-const REVISIONS_PER_ERA = orderRevision({ era: 1, revision: 1 }) - 1;
+const REVISIONS_PER_ERA = toMonotonicRevision({ era: 1, revision: 1 }) - 1;
 /** Clock rates of the daemons. */
 const DAEMON_CLOCK_RATES = [1.009, 0.991, 1, 1.005];
 /** Maximum time between two checks of the properties, in milliseconds. */
@@ -327,7 +327,7 @@
   /** The current revision in the order across all eras. */
   private currentRevision(): number {
     const era = this.fault === "order_without_era" ? 0 : this.era;
-    return orderRevision({ era, revision: this.revision });
+    return toMonotonicRevision({ era, revision: this.revision });
   }
 
   private takeSnapshot(): void {
@@ -354,7 +354,7 @@
   /** A revision of an earlier era as a revision of the current one. */
   private inCurrentEra(revision: number): number {
     const era = this.fault === "order_without_era" ? 0 : this.era;
-    return orderRevision({ era, revision: revisionInEra(revision) });
+    return toMonotonicRevision({ era, revision: revisionInEra(revision) });
   }
 
   private createHost(index: number): Host {
--- a/packages/router/src/evacuation_manager_test.ts
+++ b/packages/router/src/evacuation_manager_test.ts
@@ -21,7 +21,7 @@
   const manager = EvacuationManager.create({
     address: "own",
     zone: "a",
-    logger: Logger.createBounded("test", { level: "error" }),
+    logger: Logger.createRateLimited("test", { level: "error" }),
     nowMs: () => nowMs,
     evacuateMs: () => EVACUATE_MS,
     isKnownZone: (zone) => zone !== "nowhere",
--- a/packages/router/src/gossip_node_test.ts
+++ b/packages/router/src/gossip_node_test.ts
@@ -40,7 +40,7 @@
 /** Starts a node; `events` collects the names of the events that it logs. */
 async function startNode() {
   const events: EventName[] = [];
-  const logger = Logger.createBounded("test", { level: "error" });
+  const logger = Logger.createRateLimited("test", { level: "error" });
   logger.log = (event: EventName) => void events.push(event);
   const view = MemberView.create(REPORT);
   const node = GossipNode.create({
--- a/packages/router/src/ownership_lease_manager_test.ts
+++ b/packages/router/src/ownership_lease_manager_test.ts
@@ -27,7 +27,7 @@
 function createManager(
   stored: { value: string; revision: number } | undefined,
 ) {
-  const logger = Logger.createBounded("test", { level: "error" });
+  const logger = Logger.createRateLimited("test", { level: "error" });
   const directory = OwnershipDirectory.create(logger);
   directory.updateRecord(SERVICE, RECORD);
   const lease = OwnershipLease.create();
--- a/packages/router/src/record_writer_test.ts
+++ b/packages/router/src/record_writer_test.ts
@@ -50,7 +50,7 @@
   onConflict: (directory: OwnershipDirectory) => void,
 ) {
   const store = new ConflictingStore();
-  const logger = Logger.createBounded("test", { level: "error" });
+  const logger = Logger.createRateLimited("test", { level: "error" });
   const directory = OwnershipDirectory.create(logger);
   directory.updateRecord(SERVICE, KNOWN);
   const writer = RecordWriter.create({
--- a/packages/router/src/request_quarantine_test.ts
+++ b/packages/router/src/request_quarantine_test.ts
@@ -88,7 +88,7 @@
       others.forEach((to) => this.sent.push({ to, update }));
     return RequestQuarantine.create({
       address,
-      logger: Logger.createBounded("test", { level: "error" }),
+      logger: Logger.createRateLimited("test", { level: "error" }),
       random: () => {
         this.lastRandom = (this.lastRandom + RANDOM_STEP) % 1;
         return this.lastRandom;
