--- a/packages/daemon/src/handover_runner.ts
+++ b/packages/daemon/src/handover_runner.ts
@@ -14,7 +14,7 @@
   planMoves,
   rewriteShard,
 } from "@bamboolink/ownership";
-import { type Store, writeSettled } from "@bamboolink/store";
+import { type Store, writeAndVerify } from "@bamboolink/store";
 import { PLANNER_KEY, tableKey, type TableShard } from "@bamboolink/types";
 import type { Versioned } from "@bamboolink/view";
 import { wallClockMs } from "./clock.ts";
@@ -256,7 +256,7 @@
     if (next === undefined) {
       return;
     }
-    const written = await writeSettled(this.context.store, {
+    const written = await writeAndVerify(this.context.store, {
       key: tableKey(record.service, record.first),
       value: JSON.stringify(next),
       expectedRevision: shard.revision,
--- a/packages/daemon/src/planner.ts
+++ b/packages/daemon/src/planner.ts
@@ -23,7 +23,7 @@
   FleetStatusResponseSchema,
   type ReportRequest,
 } from "@bamboolink/protocol";
-import { type Store, writeSettled } from "@bamboolink/store";
+import { type Store, writeAndVerify } from "@bamboolink/store";
 import {
   NO_OWNER,
   type Service,
@@ -259,7 +259,7 @@
     expectedRevision: number,
   ): Promise<boolean> {
     const key = sessionKey(record.id);
-    const written = await writeSettled(this.context.store, {
+    const written = await writeAndVerify(this.context.store, {
       key,
       value: JSON.stringify(record),
       expectedRevision,
@@ -418,7 +418,7 @@
       stored.record.service === shard.service &&
       stored.record.first === shard.first
     );
-    const written = await writeSettled(this.context.store, {
+    const written = await writeAndVerify(this.context.store, {
       key: tableKey(shard.service, shard.first),
       value: JSON.stringify(next),
       expectedRevision: known?.revision ?? 0,
--- a/packages/daemon/src/planner_election.ts
+++ b/packages/daemon/src/planner_election.ts
@@ -7,7 +7,7 @@
  * @module
  */
 import type { Logger } from "@bamboolink/logger";
-import { type Store, writeSettled } from "@bamboolink/store";
+import { type Store, writeAndVerify } from "@bamboolink/store";
 import { PLANNER_KEY, type PlannerRecord } from "@bamboolink/types";
 import { Background } from "./background.ts";
 import { monotonicMs, wallClockMs } from "./clock.ts";
@@ -108,7 +108,7 @@
       session: candidate,
       elected_at_ms: wallClockMs(),
     };
-    const written = await writeSettled(this.context.store, {
+    const written = await writeAndVerify(this.context.store, {
       key: PLANNER_KEY,
       value: JSON.stringify(record),
       expectedRevision,
--- a/packages/daemon/src/session_keeper.ts
+++ b/packages/daemon/src/session_keeper.ts
@@ -12,7 +12,7 @@
   reviewWitnesses,
 } from "@bamboolink/ownership";
 import { RenewResponse_Answer } from "@bamboolink/protocol";
-import { type Store, writeSettled } from "@bamboolink/store";
+import { type Store, writeAndVerify } from "@bamboolink/store";
 import {
   type Announcement,
   sessionKey,
@@ -405,7 +405,7 @@
     session: OwnSession,
     record: SessionRecord,
   ): Promise<boolean> {
-    const written = await writeSettled(this.context.store, {
+    const written = await writeAndVerify(this.context.store, {
       key: sessionKey(session.id),
       value: JSON.stringify(record),
       expectedRevision: session.revision,
--- a/packages/membership/src/gossip_codec.ts
+++ b/packages/membership/src/gossip_codec.ts
@@ -9,7 +9,11 @@
 import { BamboolinkError } from "@bamboolink/errors";
 import { decode, encode } from "@msgpack/msgpack";
 import { err, ok, type Result } from "neverthrow";
-import { type BeatDigest, packBeats, unpackBeats } from "./beat_digest.ts";
+import {
+  decodeDigests,
+  encodeDigests,
+  type HeartbeatDigest,
+} from "./heartbeat_digest.ts";
 import { MemberReport } from "./member.ts";
 import { readReportRow } from "./report_row.ts";
 
@@ -31,10 +35,10 @@
   if (!Array.isArray(value) || value.length !== MESSAGE_FIELDS) {
     return false;
   }
-  const [format, sender, rows, beats] = value as unknown[];
+  const [format, sender, rows, digests] = value as unknown[];
   return format === FORMAT && typeof sender === "string" && sender !== "" &&
     Array.isArray(rows) && rows.every(Array.isArray) &&
-    beats instanceof Uint8Array;
+    digests instanceof Uint8Array;
 }
 
 /** One datagram of gossip. */
@@ -43,13 +47,13 @@
   readonly sender: string;
   readonly reports: readonly MemberReport[];
   /** How far the beats of all living daemons have come, as the sender knows it. */
-  readonly beats: readonly BeatDigest[];
+  readonly digests: readonly HeartbeatDigest[];
 }
 
 /** What came with a datagram. */
 export interface DecodedGossip extends GossipMessage {
   /** How many reports don't say of whom they are, or when they were made. */
-  readonly leftOut: number;
+  readonly skippedReports: number;
 }
 
 /** Encodes a datagram. */
@@ -57,39 +61,49 @@
   const rows = message.reports.map((report) =>
     FIELDS.map((field) => report[field])
   );
-  const beats = packBeats(message.beats);
-  return encode([FORMAT, message.sender, rows, beats], { forceFloat32: true });
+  const digests = encodeDigests(message.digests);
+  return encode([FORMAT, message.sender, rows, digests], {
+    forceFloat32: true,
+  });
 }
 
 /** Which report a row holds, as far as one needs to know whether it is news. */
-export type ReportName = Pick<MemberReport, "address" | "incarnation" | "beat">;
+export type ReportVersion = Pick<
+  MemberReport,
+  "address" | "incarnation" | "sequence"
+>;
 
 /**
  * Decodes a datagram; anybody can send one, so nothing in it is taken on trust.
  *
- * @param isNews tells reports that are still worth checking. Most of a datagram tells what others have told
+ * @param isUpdate tells reports that are still worth checking. Most of a datagram tells what others have told
  *   before, and checking it all took an eighth of the processor time of a daemon at rest.
  */
 export function decodeGossip(
   bytes: Uint8Array,
-  isNews: (name: ReportName) => boolean = () => true,
+  isUpdate: (name: ReportVersion) => boolean = () => true,
 ): Result<DecodedGossip, BamboolinkError> {
   const value = tryDecode(bytes);
   if (!isMessage(value)) {
     return err(invalid("it has another form"));
   }
   const [, sender, rows, packed] = value;
-  const beats = unpackBeats(packed);
-  if (beats === undefined) {
+  const digests = decodeDigests(packed);
+  if (digests === undefined) {
     return err(invalid("digests of beats are cut short"));
   }
   const named = rows.filter(isNamed);
-  const news = named.filter((row) => isNews(nameOf(row)));
+  const news = named.filter((row) => isUpdate(nameOf(row)));
   const reports = news.flatMap((row) => readReportRow(row) ?? []);
   if (reports.length < news.length) {
     return err(invalid("a report has other fields"));
   }
-  return ok({ sender, reports, beats, leftOut: rows.length - named.length });
+  return ok({
+    sender,
+    reports,
+    digests,
+    skippedReports: rows.length - named.length,
+  });
 }
 
 /**
@@ -97,17 +111,17 @@
  * without a word: nobody would notice that a daemon sends what others can't read.
  */
 function isNamed(row: readonly unknown[]): boolean {
-  const [address, incarnation, beat] = row;
+  const [address, incarnation, sequence] = row;
   return typeof address === "string" && Number.isInteger(incarnation) &&
-    Number.isInteger(beat);
+    Number.isInteger(sequence);
 }
 
-function nameOf(row: readonly unknown[]): ReportName {
-  const [address, incarnation, beat] = row;
+function nameOf(row: readonly unknown[]): ReportVersion {
+  const [address, incarnation, sequence] = row;
   return {
     address: String(address),
     incarnation: Number(incarnation),
-    beat: Number(beat),
+    sequence: Number(sequence),
   };
 }
 
--- a/packages/membership/src/gossip_targets.ts
+++ b/packages/membership/src/gossip_targets.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { MemberView } from "./member_view.ts";
-import { pickSome } from "./pick_some.ts";
+import { sampleWithoutReplacement } from "./sample_without_replacement.ts";
 
 /** Daemons of the own availability zone told in one round. */
 const NEAR_FANOUT = 2;
@@ -28,14 +28,17 @@
   const near = alive.filter((report) => report.availabilityZone === zone);
   const far = alive.filter((report) => report.availabilityZone !== zone);
   const told = [
-    ...pickSome(near, { count: NEAR_FANOUT, ...now }),
-    ...pickSome(far, { count: FAR_FANOUT, ...now }),
+    ...sampleWithoutReplacement(near, { count: NEAR_FANOUT, ...now }),
+    ...sampleWithoutReplacement(far, { count: FAR_FANOUT, ...now }),
   ].map(({ address }) => address);
   const living = new Set(alive.map(({ address }) => address));
-  const silent = view.known.filter((address) => !living.has(address));
+  const silent = view.knownAddresses.filter((address) => !living.has(address));
   // Silent daemons are told now and then: one that came back, or was cut off, finds the others again.
   const probes = alive.length === 0 || now.random() < PROBE_SHARE
-    ? pickSome(silent, { count: alive.length === 0 ? FIRST_FANOUT : 1, ...now })
+    ? sampleWithoutReplacement(silent, {
+      count: alive.length === 0 ? FIRST_FANOUT : 1,
+      ...now,
+    })
     : [];
   return [...told, ...probes];
 }
--- a/packages/membership/src/beat_digest.ts
+++ b/packages/membership/src/heartbeat_digest.ts
@@ -9,12 +9,12 @@
  */
 
 /** How far the beats of one daemon have come. */
-export interface BeatDigest {
+export interface HeartbeatDigest {
   /** A hash of the daemon's address. */
-  readonly name: number;
+  readonly addressHash: number;
   /** The lowest byte of its incarnation. */
   readonly incarnation: number;
-  readonly beat: number;
+  readonly sequence: number;
 }
 
 /** Name (4 bytes), incarnation (1) and beat (4). */
@@ -33,31 +33,33 @@
 }
 
 /** Makes the digest of a report. */
-export function digestBeat(
-  name: number,
-  report: { incarnation: number; beat: number },
-): BeatDigest {
+export function createDigest(
+  addressHash: number,
+  report: { incarnation: number; sequence: number },
+): HeartbeatDigest {
   return {
-    name,
+    addressHash,
     incarnation: report.incarnation % 256,
-    beat: report.beat % BEAT_LIMIT,
+    sequence: report.sequence % BEAT_LIMIT,
   };
 }
 
 /** Packs digests. */
-export function packBeats(digests: readonly BeatDigest[]): Uint8Array {
+export function encodeDigests(digests: readonly HeartbeatDigest[]): Uint8Array {
   const bytes = Buffer.allocUnsafe(digests.length * DIGEST_BYTES);
-  digests.forEach(({ name, incarnation, beat }, index) => {
+  digests.forEach(({ addressHash, incarnation, sequence }, index) => {
     const at = index * DIGEST_BYTES;
-    bytes.writeUInt32LE(name, at);
+    bytes.writeUInt32LE(addressHash, at);
     bytes.writeUInt8(incarnation, at + 4);
-    bytes.writeUInt32LE(beat, at + 5);
+    bytes.writeUInt32LE(sequence, at + 5);
   });
   return bytes;
 }
 
 /** Unpacks digests; `undefined` where bytes are missing or too many. */
-export function unpackBeats(packed: Uint8Array): BeatDigest[] | undefined {
+export function decodeDigests(
+  packed: Uint8Array,
+): HeartbeatDigest[] | undefined {
   if (packed.length % DIGEST_BYTES !== 0) {
     return undefined;
   }
@@ -65,9 +67,9 @@
   return Array.from({ length: packed.length / DIGEST_BYTES }, (_, index) => {
     const at = index * DIGEST_BYTES;
     return {
-      name: bytes.readUInt32LE(at),
+      addressHash: bytes.readUInt32LE(at),
       incarnation: bytes.readUInt8(at + 4),
-      beat: bytes.readUInt32LE(at + 5),
+      sequence: bytes.readUInt32LE(at + 5),
     };
   });
 }
--- a/packages/membership/src/member.ts
+++ b/packages/membership/src/member.ts
@@ -31,7 +31,7 @@
   /** Grows when a daemon finds that others still tell of its earlier process. */
   incarnation: z.int().min(0),
   /** Grows with each report of one incarnation. */
-  beat: z.int().min(0),
+  sequence: z.int().min(0),
   availabilityZone: z.string(),
   /** Where the daemon takes forwarded requests. */
   forwardAddress: z.string(),
--- a/packages/membership/src/member_view.ts
+++ b/packages/membership/src/member_view.ts
@@ -3,10 +3,14 @@
  *
  * @module
  */
-import { type BeatDigest, digestBeat, hashAddress } from "./beat_digest.ts";
-import type { ReportName } from "./gossip_codec.ts";
+import {
+  createDigest,
+  hashAddress,
+  type HeartbeatDigest,
+} from "./heartbeat_digest.ts";
+import type { ReportVersion } from "./gossip_codec.ts";
 import type { MemberReport } from "./member.ts";
-import { pickSome } from "./pick_some.ts";
+import { sampleWithoutReplacement } from "./sample_without_replacement.ts";
 
 /**
  * A daemon whose beats have not advanced for so long is taken for silent, in milliseconds. Digests of all beats go
@@ -43,7 +47,7 @@
   readonly name: number;
   readonly report: MemberReport;
   /** The newest beat of its incarnation that was heard of; the report may be older. */
-  readonly beat: number;
+  readonly sequence: number;
   /** When the beat last advanced, on the own clock. */
   readonly advancedAtMs: number;
   /** How often this report was told on. */
@@ -76,12 +80,12 @@
   }
 
   /** Says something new of the own daemon; every call is one beat. */
-  beat(changes: Partial<MemberReport>): void {
-    this.own = { ...this.own, ...changes, beat: this.own.beat + 1 };
+  updateOwnReport(changes: Partial<MemberReport>): void {
+    this.own = { ...this.own, ...changes, sequence: this.own.sequence + 1 };
   }
 
   /** Names a daemon of which nothing is known but its address. */
-  name(address: string): void {
+  addAddress(address: string): void {
     if (address !== this.own.address && !this.entries.has(address)) {
       this.named.add(address);
     }
@@ -106,37 +110,37 @@
    * @returns the names of daemons of which no report was heard, and the own name where another process at this
    *   address is told of; whoever told of them has their reports.
    */
-  mergeBeats(digests: readonly BeatDigest[], nowMs: number): number[] {
+  mergeDigests(digests: readonly HeartbeatDigest[], nowMs: number): number[] {
     const unknown: number[] = [];
     digests.forEach((digest) => {
-      if (digest.name === this.ownName) {
+      if (digest.addressHash === this.ownName) {
         if (!this.isOwn(digest)) {
-          unknown.push(digest.name);
+          unknown.push(digest.addressHash);
         }
         return;
       }
-      const address = this.names.get(digest.name);
+      const address = this.names.get(digest.addressHash);
       const entry = address === undefined
         ? undefined
         : this.entries.get(address);
       if (address === undefined || entry === undefined) {
-        unknown.push(digest.name);
+        unknown.push(digest.addressHash);
         return;
       }
       const isOfProcess = digest.incarnation ===
-        digestBeat(digest.name, entry.report).incarnation;
-      if (isOfProcess && digest.beat > entry.beat) {
-        const { beat } = digest;
-        this.entries.set(address, { ...entry, beat, advancedAtMs: nowMs });
+        createDigest(digest.addressHash, entry.report).incarnation;
+      if (isOfProcess && digest.sequence > entry.sequence) {
+        const { sequence } = digest;
+        this.entries.set(address, { ...entry, sequence, advancedAtMs: nowMs });
       }
     });
     return unknown;
   }
 
   /** Whether a digest of the own name tells of this process. */
-  private isOwn({ incarnation, beat }: BeatDigest): boolean {
-    const own = digestBeat(this.ownName, this.own);
-    return incarnation === own.incarnation && beat <= own.beat;
+  private isOwn({ incarnation, sequence }: HeartbeatDigest): boolean {
+    const own = createDigest(this.ownName, this.own);
+    return incarnation === own.incarnation && sequence <= own.sequence;
   }
 
   /** The reports that somebody asks for by name. */
@@ -148,7 +152,7 @@
   }
 
   /** Whether a report tells more than what is known. */
-  isNews(name: ReportName): boolean {
+  isUpdate(name: ReportVersion): boolean {
     const known = name.address === this.own.address
       ? this.own
       : this.entries.get(name.address)?.report;
@@ -156,20 +160,20 @@
   }
 
   /** How long a daemon's beats may stand still before it is taken for silent, in milliseconds. */
-  get silentAfterMs(): number {
+  get unresponsiveTimeoutMs(): number {
     return SILENT_AFTER_MS;
   }
 
   /** Daemons whose reports advance. */
   alive(nowMs: number): MemberReport[] {
-    const longestMs = this.silentAfterMs;
+    const longestMs = this.unresponsiveTimeoutMs;
     return [...this.entries.values()]
       .filter(({ advancedAtMs }) => nowMs - advancedAtMs <= longestMs)
       .map(({ report }) => report);
   }
 
   /** Living daemons, the own one included, whose backend servers take requests of a service. */
-  readyOf(service: string, nowMs: number): readonly MemberReport[] {
+  readyReports(service: string, nowMs: number): readonly MemberReport[] {
     const known = this.ready.get(service);
     if (known !== undefined && nowMs - known.madeAtMs < READY_MS) {
       return known.reports;
@@ -189,7 +193,7 @@
   }
 
   /** For how long a daemon's reports have not advanced, in milliseconds; infinite if never heard. */
-  silentMs(address: string, nowMs: number): number {
+  heartbeatAgeMs(address: string, nowMs: number): number {
     const entry = this.entries.get(address);
     if (address === this.own.address) {
       return 0;
@@ -198,7 +202,7 @@
   }
 
   /** The addresses of all other daemons ever heard or named. */
-  get known(): string[] {
+  get knownAddresses(): string[] {
     return [...this.entries.keys(), ...this.named];
   }
 
@@ -211,7 +215,10 @@
     const living = [...this.entries.values()].filter(({ advancedAtMs }) =>
       now.nowMs - advancedAtMs <= SILENT_AFTER_MS
     );
-    const chosen = pickSome(living, { count: living.length, ...now })
+    const chosen = sampleWithoutReplacement(living, {
+      count: living.length,
+      ...now,
+    })
       .toSorted((left, right) => left.told - right.told)
       .slice(0, REPORTS_IN_A_MESSAGE - 1);
     chosen.forEach((entry) =>
@@ -224,17 +231,22 @@
    * Chooses which beats to tell in one datagram: the own one, and those of the other daemons that fit, but for those
    * that have long been silent.
    */
-  chooseBeats(now: { nowMs: number; random: () => number }): BeatDigest[] {
+  chooseDigests(
+    now: { nowMs: number; random: () => number },
+  ): HeartbeatDigest[] {
     const remembered = [...this.entries.values()].filter(({ advancedAtMs }) =>
       now.nowMs - advancedAtMs <= REMEMBERED_MS
     );
     const told = remembered.length < BEATS_IN_A_MESSAGE
       ? remembered
-      : pickSome(remembered, { count: BEATS_IN_A_MESSAGE - 1, ...now });
-    const digests = told.map(({ name, report: { incarnation }, beat }) =>
-      digestBeat(name, { incarnation, beat })
+      : sampleWithoutReplacement(remembered, {
+        count: BEATS_IN_A_MESSAGE - 1,
+        ...now,
+      });
+    const digests = told.map(({ name, report: { incarnation }, sequence }) =>
+      createDigest(name, { incarnation, sequence })
     );
-    return [digestBeat(this.ownName, this.own), ...digests];
+    return [createDigest(this.ownName, this.own), ...digests];
   }
 
   /** Others tell of an earlier process at this address: reports from now on must go before those. */
@@ -252,14 +264,14 @@
     }
     this.named.delete(report.address);
     const isOfProcess = report.incarnation === known?.report.incarnation;
-    const hasAdvanced = !isOfProcess || report.beat > known!.beat;
-    const beat = hasAdvanced ? report.beat : known!.beat;
+    const hasAdvanced = !isOfProcess || report.sequence > known!.sequence;
+    const sequence = hasAdvanced ? report.sequence : known!.sequence;
     const advancedAtMs = hasAdvanced ? nowMs : known!.advancedAtMs;
     const name = known?.name ?? hashAddress(report.address);
     this.entries.set(report.address, {
       name,
       report,
-      beat,
+      sequence,
       advancedAtMs,
       told: 0,
     });
@@ -268,8 +280,8 @@
   }
 }
 
-function isNewer(report: ReportName, known: ReportName): boolean {
+function isNewer(report: ReportVersion, known: ReportVersion): boolean {
   return report.incarnation === known.incarnation
-    ? report.beat > known.beat
+    ? report.sequence > known.sequence
     : report.incarnation > known.incarnation;
 }
--- a/packages/membership/src/membership_test.ts
+++ b/packages/membership/src/membership_test.ts
@@ -14,7 +14,7 @@
   return {
     address: "10.0.0.1:7000",
     incarnation: 1,
-    beat: 0,
+    sequence: 0,
     availabilityZone: "zone-a",
     forwardAddress: "10.0.0.1:8000",
     service: "quotes",
@@ -51,10 +51,17 @@
       const message = {
         sender: "10.0.0.9:7000",
         reports: [report()],
-        beats: [{ name: 2 ** 32 - 1, incarnation: 255, beat: 2 ** 32 - 1 }],
+        digests: [{
+          addressHash: 2 ** 32 - 1,
+          incarnation: 255,
+          sequence: 2 ** 32 - 1,
+        }],
       };
       const decoded = decodeGossip(encodeGossip(message));
-      expect(decoded._unsafeUnwrap()).to.deep.equal({ ...message, leftOut: 0 });
+      expect(decoded._unsafeUnwrap()).to.deep.equal({
+        ...message,
+        skippedReports: 0,
+      });
     });
   });
 
@@ -75,8 +82,8 @@
   describe("when reports overtake each other", () => {
     it("keeps the newer one", () => {
       const view = MemberView.create(report({ address: "own" }));
-      view.merge([report({ beat: 5, slots: 9 })], 0);
-      view.merge([report({ beat: 4, slots: 1 })], 10);
+      view.merge([report({ sequence: 5, slots: 9 })], 0);
+      view.merge([report({ sequence: 4, slots: 1 })], 10);
       expect(view.find("10.0.0.1:7000")?.slots).to.equal(9);
     });
   });
@@ -84,10 +91,10 @@
   describe("when a daemon's reports stop", () => {
     it("takes it for silent, and for alive once they go on", () => {
       const view = MemberView.create(report({ address: "own" }));
-      view.merge([report({ beat: 1 })], 0);
-      expect(view.alive(view.silentAfterMs)).to.have.length(1);
-      expect(view.alive(view.silentAfterMs + 1)).to.have.length(0);
-      view.merge([report({ beat: 2 })], 5_000);
+      view.merge([report({ sequence: 1 })], 0);
+      expect(view.alive(view.unresponsiveTimeoutMs)).to.have.length(1);
+      expect(view.alive(view.unresponsiveTimeoutMs + 1)).to.have.length(0);
+      view.merge([report({ sequence: 2 })], 5_000);
       expect(view.alive(5_000)).to.have.length(1);
     });
   });
@@ -97,11 +104,13 @@
     // Sequence: it restarts and counts its beats from 0; the others know a higher beat.
     // Cause: its reports looked older than what they knew.
     it("goes before them with a new incarnation", () => {
-      const restarted = MemberView.create(report({ address: "own", beat: 0 }));
-      restarted.merge([report({ address: "own", beat: 400 })], 0);
+      const restarted = MemberView.create(
+        report({ address: "own", sequence: 0 }),
+      );
+      restarted.merge([report({ address: "own", sequence: 400 })], 0);
       const other = MemberView.create(report({ address: "other" }));
-      other.merge([report({ address: "own", beat: 400 })], 0);
-      restarted.beat({});
+      other.merge([report({ address: "own", sequence: 400 })], 0);
+      restarted.updateOwnReport({});
       other.merge([restarted.ownReport], 9_000);
       expect(other.alive(9_000).map(({ address }) => address)).to.deep.equal([
         "own",
@@ -119,7 +128,7 @@
           availabilityZone: `zone-${index % 3}`,
         }),
       );
-      Array.from({ length: size }, (_, other) => view.name(`d${other}`));
+      Array.from({ length: size }, (_, other) => view.addAddress(`d${other}`));
       return view;
     });
     const byAddress = new Map(
@@ -127,13 +136,16 @@
     );
     const tell = (from: MemberView, to: MemberView, nowMs: number) => {
       to.merge(from.chooseReports({ nowMs, random }), nowMs);
-      const lacking = to.mergeBeats(from.chooseBeats({ nowMs, random }), nowMs);
+      const lacking = to.mergeDigests(
+        from.chooseDigests({ nowMs, random }),
+        nowMs,
+      );
       to.merge(from.findReports(lacking), nowMs);
     };
     Array.from({ length: rounds }, (_, round) => {
       const nowMs = round * ROUND_MS;
       views.forEach((view) => {
-        view.beat({});
+        view.updateOwnReport({});
         chooseGossipTargets(view, { nowMs, random })
           .filter(() => random() > 0.1)
           .forEach((address) => tell(view, byAddress.get(address)!, nowMs));
@@ -163,23 +175,23 @@
   describe("when digests tell of a daemon that is not known", () => {
     it("names it, to be asked for", () => {
       const told = MemberView.create(report({ address: "told" }));
-      told.merge([report({ address: "third", beat: 4 })], 0);
+      told.merge([report({ address: "third", sequence: 4 })], 0);
       const other = MemberView.create(report({ address: "other" }));
       const random = seededRandom(3);
-      const lacking = other.mergeBeats(
-        told.chooseBeats({ nowMs: 0, random }),
+      const lacking = other.mergeDigests(
+        told.chooseDigests({ nowMs: 0, random }),
         0,
       );
       other.merge(told.findReports(lacking), 0);
-      expect(other.find("third")?.beat).to.equal(4);
+      expect(other.find("third")?.sequence).to.equal(4);
     });
 
     it("takes the beat of an earlier process for nothing", () => {
       const view = MemberView.create(report({ address: "own" }));
-      const earlier = MemberView.create(report({ address: "x", beat: 90 }));
-      view.merge([report({ address: "x", incarnation: 2, beat: 1 })], 0);
+      const earlier = MemberView.create(report({ address: "x", sequence: 90 }));
+      view.merge([report({ address: "x", incarnation: 2, sequence: 1 })], 0);
       const random = seededRandom(3);
-      view.mergeBeats(earlier.chooseBeats({ nowMs: 0, random }), 5_000);
+      view.mergeDigests(earlier.chooseDigests({ nowMs: 0, random }), 5_000);
       expect(view.alive(5_000)).to.have.length(0);
     });
   });
@@ -191,20 +203,20 @@
     it("hears of its earlier process, and goes before it", () => {
       const random = seededRandom(5);
       const other = MemberView.create(report({ address: "other" }));
-      other.merge([report({ address: "back", beat: 400 })], 0);
+      other.merge([report({ address: "back", sequence: 400 })], 0);
       const back = MemberView.create(report({ address: "back" }));
       const nowMs = 10_000;
       back.merge([other.ownReport], nowMs);
-      const lacking = back.mergeBeats(
-        other.chooseBeats({ nowMs, random }),
+      const lacking = back.mergeDigests(
+        other.chooseDigests({ nowMs, random }),
         nowMs,
       );
       back.merge(other.findReports(lacking), nowMs);
-      back.beat({});
+      back.updateOwnReport({});
       other.merge([back.ownReport], nowMs);
       expect(other.alive(nowMs)).to.have.length(1);
-      const settled = back.mergeBeats(
-        other.chooseBeats({ nowMs, random }),
+      const settled = back.mergeDigests(
+        other.chooseDigests({ nowMs, random }),
         nowMs,
       );
       expect(settled).to.deep.equal([]);
--- a/packages/membership/src/mod.ts
+++ b/packages/membership/src/mod.ts
@@ -10,8 +10,8 @@
   encodeGossip,
   type GossipMessage,
 } from "./gossip_codec.ts";
-export type { BeatDigest } from "./beat_digest.ts";
+export type { HeartbeatDigest } from "./heartbeat_digest.ts";
 export { MemberView } from "./member_view.ts";
 export { chooseGossipTargets } from "./gossip_targets.ts";
-export { pickSome } from "./pick_some.ts";
-export { WatchWaits } from "./watch_waits.ts";
+export { sampleWithoutReplacement } from "./sample_without_replacement.ts";
+export { WatchPollSchedule } from "./watch_poll_schedule.ts";
--- a/packages/membership/src/report_row.ts
+++ b/packages/membership/src/report_row.ts
@@ -20,7 +20,7 @@
   const [
     address,
     incarnation,
-    beat,
+    sequence,
     availabilityZone,
     forwardAddress,
     service,
@@ -35,7 +35,7 @@
     reachesStore,
   ] = row;
   const isReport = isText(address) && address !== "" &&
-    isCount(incarnation) && isCount(beat) &&
+    isCount(incarnation) && isCount(sequence) &&
     isText(availabilityZone) && isText(forwardAddress) && isText(service) &&
     isPhase(phase) && isCount(slots) &&
     isAmount(waitMs) && isAmount(serviceMs) && isAmount(utilization) &&
@@ -46,7 +46,7 @@
     ? {
       address,
       incarnation,
-      beat,
+      sequence,
       availabilityZone,
       forwardAddress,
       service,
--- a/packages/membership/src/report_row_test.ts
+++ b/packages/membership/src/report_row_test.ts
@@ -13,7 +13,7 @@
 const REPORT: MemberReport = {
   address: "10.0.0.1:7000",
   incarnation: 1,
-  beat: 7,
+  sequence: 7,
   availabilityZone: "zone-a",
   forwardAddress: "10.0.0.1:8000",
   service: "quotes",
--- a/packages/membership/src/pick_some.ts
+++ b/packages/membership/src/sample_without_replacement.ts
@@ -5,7 +5,7 @@
  */
 
 /** Draws up to `count` of the given things. */
-export function pickSome<T>(
+export function sampleWithoutReplacement<T>(
   from: readonly T[],
   choice: { count: number; random: () => number },
 ): T[] {
--- a/packages/membership/src/watch_waits.ts
+++ b/packages/membership/src/watch_poll_schedule.ts
@@ -12,14 +12,14 @@
 const MEAN_RENEWAL_GAP_MS = 350;
 
 /** Chooses the waits of one daemon's watch. */
-export class WatchWaits {
+export class WatchPollSchedule {
   private fullMs = 0;
 
   private constructor(private readonly random: () => number) {}
 
   /** Creates waits without history; `random` returns numbers from 0 to 1. */
-  static create(random: () => number): WatchWaits {
-    return new WatchWaits(random);
+  static create(random: () => number): WatchPollSchedule {
+    return new WatchPollSchedule(random);
   }
 
   /**
@@ -29,13 +29,13 @@
    * the whole fleet without news between two of them.
    *
    * @param daemons how many daemons watch.
-   * @param hasRunOut whether the last wait ran to its end without a change.
+   * @param hasTimedOut whether the last wait ran to its end without a change.
    */
-  next(
-    { daemons, hasRunOut }: { daemons: number; hasRunOut: boolean },
+  nextTimeoutMs(
+    { daemons, hasTimedOut }: { daemons: number; hasTimedOut: boolean },
   ): number {
     const fullMs = Math.min(LONGEST_WAIT_MS, daemons * MEAN_RENEWAL_GAP_MS);
-    const isSpread = hasRunOut && fullMs === this.fullMs;
+    const isSpread = hasTimedOut && fullMs === this.fullMs;
     this.fullMs = fullMs;
     return Math.ceil(isSpread ? fullMs : fullMs * (1 - this.random()));
   }
--- a/packages/membership/src/watch_waits_test.ts
+++ b/packages/membership/src/watch_poll_schedule_test.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { expect } from "chai";
-import { WatchWaits } from "./watch_waits.ts";
+import { WatchPollSchedule } from "./watch_poll_schedule.ts";
 
 /** Fleets of all sizes that are served, in daemons. */
 const FLEETS = [1, 3, 12, 59, 195, 470];
@@ -38,16 +38,16 @@
 /** The moments of all renewals of daemons that start together at 0 and are told of a change at half of the time. */
 function playRenewals(daemons: number, random: () => number): number[] {
   return Array.from({ length: daemons }, () => {
-    const waits = WatchWaits.create(random);
+    const waits = WatchPollSchedule.create(random);
     const moments: number[] = [];
     let nowMs = 0;
-    let hasRunOut = false;
+    let hasTimedOut = false;
     while (nowMs < PLAYED_MS) {
       const known = nowMs < ACQUAINTED_MS ? 1 : daemons;
       const endsAtMs: number = nowMs +
-        waits.next({ daemons: known, hasRunOut });
-      hasRunOut = nowMs >= CHANGE_MS || endsAtMs < CHANGE_MS;
-      nowMs = hasRunOut ? endsAtMs : CHANGE_MS;
+        waits.nextTimeoutMs({ daemons: known, hasTimedOut });
+      hasTimedOut = nowMs >= CHANGE_MS || endsAtMs < CHANGE_MS;
+      nowMs = hasTimedOut ? endsAtMs : CHANGE_MS;
       moments.push(nowMs);
     }
     return moments;
--- a/packages/operator/src/configuration_commands.ts
+++ b/packages/operator/src/configuration_commands.ts
@@ -12,7 +12,7 @@
   validateDocument,
 } from "@bamboolink/configuration";
 import { BamboolinkError } from "@bamboolink/errors";
-import { type Store, writeSettled } from "@bamboolink/store";
+import { type Store, writeAndVerify } from "@bamboolink/store";
 import {
   CONFIGURATION_KEY,
   type ConfigurationDocument,
@@ -231,7 +231,7 @@
     store: Store,
     change: { next: ConfigurationRecord; revision: number; attempt: string },
   ): Promise<Result<number, BamboolinkError>> {
-    const written = await writeSettled(store, {
+    const written = await writeAndVerify(store, {
       key: CONFIGURATION_KEY,
       value: JSON.stringify(change.next),
       expectedRevision: change.revision,
--- a/packages/operator/src/fleet_commands.ts
+++ b/packages/operator/src/fleet_commands.ts
@@ -5,7 +5,7 @@
  */
 import { BamboolinkError } from "@bamboolink/errors";
 import { type Assignment, OwnershipTable } from "@bamboolink/routing";
-import { type Store, writeSettled } from "@bamboolink/store";
+import { type Store, writeAndVerify } from "@bamboolink/store";
 import {
   drainKey,
   type DrainRecord,
@@ -220,7 +220,7 @@
     const expectedRevision = drains.get(this.host)?.revision ?? 0;
     const value = this.undo ? undefined : JSON.stringify(record);
     const nothingToDo = this.undo && expectedRevision === 0;
-    const written = nothingToDo ? ok(0) : await writeSettled(store, {
+    const written = nothingToDo ? ok(0) : await writeAndVerify(store, {
       key: drainKey(this.host),
       value,
       expectedRevision,
@@ -282,7 +282,7 @@
           declared_lost: true,
           sealed_reason: "declared lost by an operator",
         };
-        return writeSettled(store, {
+        return writeAndVerify(store, {
           key,
           value: JSON.stringify(lost),
           expectedRevision: revision,
--- a/packages/router/src/configuration_keeper.ts
+++ b/packages/router/src/configuration_keeper.ts
@@ -9,7 +9,7 @@
 import { PrefixRouter } from "@bamboolink/traffic";
 import type { TrafficConfiguration, TrafficService } from "@bamboolink/types";
 import { steadyMs } from "./clock.ts";
-import type { PeerQuestions } from "./peer_questions.ts";
+import type { PeerClient } from "./peer_client.ts";
 import type { ConfigurationDocument } from "./ports/configuration_document.ts";
 
 /** The configuration in force, ready for use. */
@@ -25,7 +25,7 @@
 export interface ConfigurationKeeperContext {
   readonly document: ConfigurationDocument;
   readonly logger: Logger;
-  readonly questions: PeerQuestions;
+  readonly questions: PeerClient;
   readonly onChange: (inForce: ConfigurationInForce) => void;
 }
 
@@ -72,7 +72,7 @@
       return;
     }
     this.isAsking = true;
-    void this.context.questions.askConfiguration(report.forwardAddress)
+    void this.context.questions.fetchConfiguration(report.forwardAddress)
       .match(
         (text) => this.take(text, report.address),
         (cause) =>
--- a/packages/router/src/decoders_test.ts
+++ b/packages/router/src/decoders_test.ts
@@ -53,7 +53,7 @@
     const report: MemberReport = {
       address: "10.0.0.1:7620",
       incarnation: 1,
-      beat: 7,
+      sequence: 7,
       availabilityZone: "a",
       forwardAddress: "10.0.0.1:7621",
       service: "rooms",
@@ -72,13 +72,13 @@
       const bytes = encodeGossip({
         sender: report.address,
         reports: [report, { ...report, address: "10.0.0.2:7620" }],
-        beats: [{ name: 77, incarnation: 1, beat: 7 }],
+        digests: [{ addressHash: 77, incarnation: 1, sequence: 7 }],
       });
       check(bytes, (spoiled) => {
         const reports = decodeGossip(spoiled).map((message) => message.reports)
           .unwrapOr([]);
-        reports.forEach(({ beat, slots, address }) => {
-          expect([beat, slots].every(Number.isInteger)).to.equal(true);
+        reports.forEach(({ sequence, slots, address }) => {
+          expect([sequence, slots].every(Number.isInteger)).to.equal(true);
           expect(address).to.be.a("string");
         });
       });
--- a/packages/router/src/gossip_node.ts
+++ b/packages/router/src/gossip_node.ts
@@ -13,7 +13,7 @@
   encodeGossip,
   type MemberReport,
   type MemberView,
-  pickSome,
+  sampleWithoutReplacement,
 } from "@bamboolink/membership";
 import { steadyMs } from "./clock.ts";
 import {
@@ -77,7 +77,7 @@
   /** Tells a few daemons. */
   round(): void {
     const { view, random } = this.context;
-    view.beat(this.context.describe());
+    view.updateOwnReport(this.context.describe());
     const targets = chooseGossipTargets(view, { nowMs: steadyMs(), random });
     this.tell(targets);
   }
@@ -85,7 +85,7 @@
   /** Tells all living daemons at once, because something must be known soon. */
   announce(): void {
     const { view } = this.context;
-    view.beat(this.context.describe());
+    view.updateOwnReport(this.context.describe());
     this.tell(view.alive(steadyMs()).map(({ address }) => address));
   }
 
@@ -105,7 +105,7 @@
   spreadToSome(datagram: Datagram): void {
     const { view, random } = this.context;
     const alive = view.alive(steadyMs());
-    pickSome(alive, { count: SOME, random })
+    sampleWithoutReplacement(alive, { count: SOME, random })
       .forEach(({ address }) => this.sendDatagram(datagram, address));
   }
 
@@ -118,8 +118,8 @@
     const { view, random } = this.context;
     const sender = view.ownReport.address;
     const reports = view.chooseReports({ nowMs: steadyMs(), random });
-    const beats = view.chooseBeats({ nowMs: steadyMs(), random });
-    const bytes = encodeGossip({ sender, reports, beats });
+    const digests = view.chooseDigests({ nowMs: steadyMs(), random });
+    const bytes = encodeGossip({ sender, reports, digests });
     addresses.forEach((address) => this.send(bytes, address));
   }
 
@@ -149,14 +149,17 @@
       );
       return;
     }
-    decodeGossip(bytes, (name) => view.isNews(name)).match(
-      ({ sender, reports, beats, leftOut }) => {
-        if (leftOut > 0) {
-          logger.log("gossip_malformed", { peer: sender, left_out: leftOut });
+    decodeGossip(bytes, (name) => view.isUpdate(name)).match(
+      ({ sender, reports, digests, skippedReports }) => {
+        if (skippedReports > 0) {
+          logger.log("gossip_malformed", {
+            peer: sender,
+            left_out: skippedReports,
+          });
         }
         const nowMs = steadyMs();
         const fresh = view.merge(reports, nowMs);
-        this.askReports(sender, view.mergeBeats(beats, nowMs));
+        this.askReports(sender, view.mergeDigests(digests, nowMs));
         if (fresh.length > 0) {
           onReports(fresh);
         }
@@ -183,7 +186,7 @@
     const { view } = this.context;
     const reports = view.findReports(names);
     const sender = view.ownReport.address;
-    this.send(encodeGossip({ sender, reports, beats: [] }), peer);
+    this.send(encodeGossip({ sender, reports, digests: [] }), peer);
   }
 }
 
--- a/packages/router/src/gossip_node_test.ts
+++ b/packages/router/src/gossip_node_test.ts
@@ -22,7 +22,7 @@
 const REPORT: MemberReport = {
   address: ADDRESS,
   incarnation: 1,
-  beat: 7,
+  sequence: 7,
   availabilityZone: "a",
   forwardAddress: "127.0.0.1:21778",
   service: "rooms",
@@ -74,22 +74,22 @@
     // Cause: a socket throws at such a port, and nobody caught it.
     it("sends nothing there, says so, and goes on", async () => {
       const { node, view, lines } = await startNode();
-      const beats = [{ name: 77, incarnation: 1, beat: 7 }];
+      const digests = [{ addressHash: 77, incarnation: 1, sequence: 7 }];
       for (const address of ["nonsense", "127.0.0.1:99999", ":1", "a:-3"]) {
         const reports = [{ ...REPORT, address }];
-        await sendBytes(encodeGossip({ sender: address, reports, beats }));
+        await sendBytes(encodeGossip({ sender: address, reports, digests }));
         node.announce();
         await sleep(ARRIVED_MS * 4);
       }
       node.close();
-      expect(view.known).to.have.length(4);
+      expect(view.knownAddresses).to.have.length(4);
       expect(lines).to.include("gossip_failed");
     });
   });
 
   describe("sent reports that don't say of whom they are", () => {
     // Symptom: a daemon is missing in the view of others, and no log says why.
-    // Sequence: its reports have no numbers where incarnation and beat stand.
+    // Sequence: its reports have no numbers where incarnation and sequence stand.
     // Cause: such a row compared as no news, and was left out before it was checked.
     it("takes the others, and says so", async () => {
       const { node, view, lines } = await startNode();
@@ -99,7 +99,7 @@
       const sender = other.address;
       await sendBytes(encode([2, sender, rows, new Uint8Array(0)]));
       node.close();
-      expect(view.known).to.deep.equal([other.address]);
+      expect(view.knownAddresses).to.deep.equal([other.address]);
       expect(lines).to.deep.equal(["gossip_malformed"]);
     });
   });
--- a/packages/router/src/member_directory.ts
+++ b/packages/router/src/member_directory.ts
@@ -55,12 +55,12 @@
    * Writes the addresses of living daemons again that a store has lost which came back from an older copy. Without them a
    * daemon that starts would not find those, and they would not find each other once all have started again.
    */
-  async restoreLost(nowMs: number): Promise<void> {
+  async restoreMissing(nowMs: number): Promise<void> {
     const { store, view } = this.context;
     const listing = await store.list(MEMBER_PREFIX);
     if (listing.isErr()) {
       this.logFailure("members.restore", listing.error);
-      this.later(() => this.restoreLost(nowMs));
+      this.later(() => this.restoreMissing(nowMs));
       return;
     }
     const present = new Set(listing.value.records.map(({ key }) => key));
@@ -74,7 +74,7 @@
       ),
     );
     if (written.some((result) => result.isErr())) {
-      this.later(() => this.restoreLost(nowMs));
+      this.later(() => this.restoreMissing(nowMs));
     }
   }
 
@@ -105,7 +105,7 @@
   private name(address: string): void {
     const { view, logger } = this.context;
     if (isAddress(address)) {
-      view.name(address);
+      view.addAddress(address);
     } else {
       logger.log("member_unreadable", { address });
     }
--- a/packages/router/src/member_directory_test.ts
+++ b/packages/router/src/member_directory_test.ts
@@ -70,7 +70,7 @@
     store: store as unknown as Store,
     view: {
       ownReport: { address: OWN, availabilityZone: "a" },
-      name: (address: string) => named.push(address),
+      addAddress: (address: string) => named.push(address),
     } as unknown as MemberView,
     logger: Logger.createBounded("test", { level: "error" }),
     onRegistered: (revision) => registered.push(revision),
--- a/packages/router/src/ownership_leader.ts
+++ b/packages/router/src/ownership_leader.ts
@@ -234,7 +234,7 @@
       .filter((report) => report.service === service);
     const takers = this.allTakers(service);
     const isDue = isFirstAssignmentDue({
-      unseenDaemons: view.known.length - alive.length,
+      unseenDaemons: view.knownAddresses.length - alive.length,
       unannouncedBackends: members.filter(({ phase }) =>
         phase === "absent"
       ).length,
@@ -261,8 +261,8 @@
     const heardForMs = nowMs - this.startedAtMs;
     const lost = known.daemons.filter((daemon) =>
       !known.isSealed(daemon) &&
-      Math.min(view.silentMs(daemon, nowMs), heardForMs) >
-        view.silentAfterMs + SEAL_AFTER_SILENCE_MS
+      Math.min(view.heartbeatAgeMs(daemon, nowMs), heardForMs) >
+        view.unresponsiveTimeoutMs + SEAL_AFTER_SILENCE_MS
     );
     if (lost.length === 0) {
       return false;
--- a/packages/router/src/ownership_manager.ts
+++ b/packages/router/src/ownership_manager.ts
@@ -240,7 +240,7 @@
   /** Others took this daemon for lost. It keeps its keys only if others can reach it. */
   private answerSeal(service: string): void {
     const { view, grants } = this.context;
-    const known = view.known.length;
+    const known = view.knownAddresses.length;
     const alive = view.alive(steadyMs()).length;
     if (known > 0 && alive * 2 < known) {
       grants.beginRelease(grants.ownRanges);
--- a/packages/router/src/peer_questions.ts
+++ b/packages/router/src/peer_client.ts
@@ -24,9 +24,9 @@
 const TIMEOUT_MS = 1_500;
 
 /** What is asked of a peer about one record. */
-export const GetQuestion = z.object({ key: z.string() });
+export const ReadRecordRequest = z.object({ key: z.string() });
 /** A conditional write that a peer is asked for. */
-export const WriteQuestion = z.object({
+export const WriteRecordRequest = z.object({
   key: z.string(),
   value: z.string().optional(),
   expectedRevision: z.int().min(0),
@@ -66,21 +66,21 @@
 }
 
 /** Asks other daemons. */
-export class PeerQuestions {
+export class PeerClient {
   private constructor() {}
 
   /** Creates one. */
-  static create(): PeerQuestions {
-    return new PeerQuestions();
+  static create(): PeerClient {
+    return new PeerClient();
   }
 
   /** Asks for the configuration document in force at a peer. */
-  askConfiguration(peer: string): ResultAsync<string, BamboolinkError> {
+  fetchConfiguration(peer: string): ResultAsync<string, BamboolinkError> {
     return ask(peer, { target: CONFIGURATION_PATH });
   }
 
   /** Asks for all records of ownership that a peer knows. */
-  askOwnership(
+  fetchOwnershipRecords(
     peer: string,
   ): ResultAsync<
     { service: string; revision: number; text: string }[],
@@ -91,7 +91,7 @@
   }
 
   /** Asks a peer to read a record of the store. */
-  askRecord(
+  readRecord(
     peer: string,
     key: string,
   ): ResultAsync<FoundRecord, BamboolinkError> {
@@ -102,7 +102,7 @@
   }
 
   /** Asks a peer for a conditional write; no answer means that it may have taken effect. */
-  askWrite(
+  writeRecord(
     peer: string,
     request: CasRequest,
   ): ResultAsync<WrittenRecord, BamboolinkError> {
--- a/packages/router/src/peer_server.ts
+++ b/packages/router/src/peer_server.ts
@@ -16,12 +16,12 @@
 import type { OwnershipDirectory } from "./ownership_directory.ts";
 import {
   CONFIGURATION_PATH,
-  GetQuestion,
   OWNERSHIP_PATH,
+  ReadRecordRequest,
   STORE_GET_PATH,
   STORE_WRITE_PATH,
-  WriteQuestion,
-} from "./peer_questions.ts";
+  WriteRecordRequest,
+} from "./peer_client.ts";
 
 /** The largest question, in bytes: the largest record of the store, and room beside it. */
 const MAXIMUM_QUESTION_BYTES = 2_097_152;
@@ -94,7 +94,7 @@
       case OWNERSHIP_PATH:
         return JSON.stringify(this.context.directory.encodedRecords);
       case STORE_GET_PATH: {
-        const { key } = GetQuestion.parse(readJson(body));
+        const { key } = ReadRecordRequest.parse(readJson(body));
         const found = await store.get(key);
         return found.match(
           (record) =>
@@ -103,7 +103,7 @@
         );
       }
       case STORE_WRITE_PATH: {
-        const question = WriteQuestion.parse(readJson(body));
+        const question = WriteRecordRequest.parse(readJson(body));
         const written = await store.compareAndSwap({
           ...question,
           value: question.value,
--- a/packages/router/src/record_writer.ts
+++ b/packages/router/src/record_writer.ts
@@ -7,7 +7,7 @@
 import { BamboolinkError } from "@bamboolink/errors";
 import { OwnershipRecord, WriteBackoff } from "@bamboolink/keyspace";
 import type { Logger } from "@bamboolink/logger";
-import { type Store, writeSettled } from "@bamboolink/store";
+import { type Store, writeAndVerify } from "@bamboolink/store";
 import { err, ok } from "neverthrow";
 import { steadyMs } from "./clock.ts";
 import {
@@ -191,7 +191,7 @@
     const { purpose, expectedRevision } = write;
     const record = write.record.withEra(store.era);
     const told = { service, purpose, from_revision: expectedRevision };
-    const written = await writeSettled(store, {
+    const written = await writeAndVerify(store, {
       key: OWNERSHIP_PREFIX + service,
       value: record.encode(),
       expectedRevision,
--- a/packages/router/src/relayed_store.ts
+++ b/packages/router/src/relayed_store.ts
@@ -15,7 +15,7 @@
 } from "@bamboolink/store";
 import { errAsync, type ResultAsync } from "neverthrow";
 import { bootMs } from "./clock.ts";
-import type { PeerQuestions } from "./peer_questions.ts";
+import type { PeerClient } from "./peer_client.ts";
 
 /** After a failure the store counts as out of reach until a call succeeds, at most so long, in ms. */
 const OUT_OF_REACH_MS = 3_000;
@@ -23,7 +23,7 @@
 /** What the relayed store needs. */
 export interface RelayedStoreContext {
   readonly direct: Store;
-  readonly peerClient: PeerQuestions;
+  readonly peerClient: PeerClient;
   readonly logger: Logger;
   /** Address of a daemon that reaches the store, if one is known. */
   readonly findRelay: () => string | undefined;
@@ -96,7 +96,7 @@
     helper: string,
     key: string,
   ): ResultAsync<StoredRecord | undefined, BamboolinkError> {
-    return this.context.peerClient.askRecord(helper, key)
+    return this.context.peerClient.readRecord(helper, key)
       .map(({ record, era }) => {
         this.toldEra = Math.max(this.toldEra, era);
         return record;
@@ -107,7 +107,7 @@
     helper: string,
     request: CasRequest,
   ): ResultAsync<number, BamboolinkError> {
-    return this.context.peerClient.askWrite(helper, request)
+    return this.context.peerClient.writeRecord(helper, request)
       .map(({ revision, era }) => {
         this.toldEra = Math.max(this.toldEra, era);
         return revision;
--- a/packages/router/src/request_runner.ts
+++ b/packages/router/src/request_runner.ts
@@ -225,7 +225,7 @@
       address === view.ownReport.address
         ? backend.failureShare
         : loadTracker.failureShareOf(address);
-    const others = view.readyOf(work.service, steadyMs())
+    const others = view.readyReports(work.service, steadyMs())
       .map(({ address }) => address)
       .filter((address) => address !== target.address);
     return isServerFault(shareOf(target.address), others.map(shareOf));
@@ -243,7 +243,7 @@
       work.deadlineAtMs - nowMs > usualMs * USEFUL_TIME_SHARE &&
       budget.allows(work.service, {
         nowMs,
-        daemons: view.known.length + 1,
+        daemons: view.knownAddresses.length + 1,
       });
   }
 
@@ -265,7 +265,7 @@
     const { view, loadTracker, random } = this.context;
     const nowMs = steadyMs();
     const own = view.ownReport;
-    const untried = view.readyOf(work.service, nowMs)
+    const untried = view.readyReports(work.service, nowMs)
       .filter(({ address }) => !tried.has(address));
     const reachable = untried.filter(({ address }) =>
       !loadTracker.isAvoided(address, nowMs)
@@ -354,7 +354,8 @@
   private isAway(owner: MemberReport): boolean {
     const { view } = this.context;
     return owner.phase === "stopping" ||
-      view.silentMs(owner.address, steadyMs()) > view.silentAfterMs;
+      view.heartbeatAgeMs(owner.address, steadyMs()) >
+        view.unresponsiveTimeoutMs;
   }
 
   private logAttempt(
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -19,7 +19,7 @@
 import {
   type MemberReport,
   MemberView,
-  WatchWaits,
+  WatchPollSchedule,
 } from "@bamboolink/membership";
 import { Metrics } from "@bamboolink/metrics";
 import type { Store } from "@bamboolink/store";
@@ -42,7 +42,7 @@
 import { MemberDirectory } from "./member_directory.ts";
 import { OwnershipDirectory } from "./ownership_directory.ts";
 import { OwnershipManager } from "./ownership_manager.ts";
-import { PeerQuestions } from "./peer_questions.ts";
+import { PeerClient } from "./peer_client.ts";
 import { PeerServer } from "./peer_server.ts";
 import type { BackendProtocol } from "./ports/backend_protocol.ts";
 import type { CallerProtocol } from "./ports/caller_protocol.ts";
@@ -102,7 +102,7 @@
   private readonly grants = GrantTracker.create(bootMs());
   private readonly tenure = OwnershipLease.create(bootMs());
   private readonly board = BackendLoadTracker.create();
-  private readonly questions = PeerQuestions.create();
+  private readonly questions = PeerClient.create();
   private readonly desk = HandoverCoordinator.create();
   private readonly lag = LoopLag.create(TICK_MS, steadyMs);
   private readonly logger: Logger;
@@ -531,7 +531,7 @@
       return;
     }
     this.isAskingOwnership = true;
-    void this.questions.askOwnership(peer).match(
+    void this.questions.fetchOwnershipRecords(peer).match(
       (records) =>
         records.forEach((news) => this.directory.updateFromPeer(news)),
       (cause) => this.logger.log("peer_question_failed", { peer, cause }),
@@ -631,7 +631,7 @@
   /** The daemon that reads for all sees first that the store went back. */
   private restoreMembers(): void {
     if (this.ownership.isSharedReader) {
-      void this.members.restoreLost(steadyMs());
+      void this.members.restoreMissing(steadyMs());
     }
   }
 
@@ -645,15 +645,15 @@
 
   private createWatcher(): StoreWatcher {
     const { logger, random, document } = this.ports;
-    const waits = WatchWaits.create(random);
+    const waits = WatchPollSchedule.create(random);
     return StoreWatcher.create({
       store: this.store,
       logger,
       random,
       prefix: document.prefix,
-      chooseWaitMs: (hasRunOut) => {
+      choosePollTimeoutMs: (hasTimedOut) => {
         const daemons = this.view.alive(steadyMs()).length + 1;
-        return waits.next({ daemons, hasRunOut });
+        return waits.nextTimeoutMs({ daemons, hasTimedOut });
       },
       onListing: ({ records, revision }) => {
         const zones = records.flatMap(({ key }) =>
@@ -756,7 +756,7 @@
   return {
     address: settings.gossipAddress,
     incarnation: 1,
-    beat: 0,
+    sequence: 0,
     availabilityZone: settings.availabilityZone,
     forwardAddress: settings.peerAddress,
     service: settings.service,
--- a/packages/router/src/store_watcher.ts
+++ b/packages/router/src/store_watcher.ts
@@ -24,8 +24,8 @@
   readonly logger: Logger;
   readonly prefix: string;
   readonly random: () => number;
-  /** How long to wait for changes, in milliseconds; `hasRunOut` where the last wait ran to its end without one. */
-  readonly chooseWaitMs: (hasRunOut: boolean) => number;
+  /** How long to wait for changes, in milliseconds; `hasTimedOut` where the last wait ran to its end without one. */
+  readonly choosePollTimeoutMs: (hasTimedOut: boolean) => number;
   /** Called with all records whenever they are listed. */
   readonly onListing: (listing: Listing) => void;
   /** Called with each change after a listing; `value` is `undefined` for deletions. */
@@ -59,7 +59,7 @@
   }
 
   private async follow(): Promise<void> {
-    const { store, logger, prefix, onListing, onChange, chooseWaitMs } =
+    const { store, logger, prefix, onListing, onChange, choosePollTimeoutMs } =
       this.context;
     const listing = await store.list(prefix);
     if (this.isStopped) {
@@ -78,7 +78,7 @@
     onListing(listing.value);
     this.watch = store.watch(prefix, {
       fromRevision: listing.value.revision + 1,
-      chooseWaitMs,
+      choosePollTimeoutMs,
       handler: {
         onChanges: (changes) => changes.forEach(onChange),
         onEnd: (cause) => {
--- a/packages/store/src/call_budget.ts
+++ b/packages/store/src/call_rate_limiter.ts
@@ -9,7 +9,7 @@
  */
 
 /** A token bucket of calls. */
-export class CallBudget {
+export class CallRateLimiter {
   private tokens: number;
   private lastMs: number | undefined;
 
@@ -20,12 +20,12 @@
   }
 
   /** Creates a full budget. */
-  static create(limits: { perSecond: number; burst: number }): CallBudget {
-    return new CallBudget(limits);
+  static create(limits: { perSecond: number; burst: number }): CallRateLimiter {
+    return new CallRateLimiter(limits);
   }
 
   /** Takes one call out of the budget, if there is one. */
-  tryCall(nowMs: number): boolean {
+  tryAcquire(nowMs: number): boolean {
     const elapsedMs = nowMs - (this.lastMs ?? nowMs);
     this.lastMs = nowMs;
     this.tokens = Math.min(
--- a/packages/store/src/etcd_store.ts
+++ b/packages/store/src/etcd_store.ts
@@ -8,8 +8,8 @@
 import { err, ok, type Result, ResultAsync } from "neverthrow";
 import { Agent, type Dispatcher, request } from "undici";
 import { z } from "zod";
-import { CallBudget } from "./call_budget.ts";
-import { OutageGate } from "./outage_gate.ts";
+import { CallRateLimiter } from "./call_rate_limiter.ts";
+import { OutageBackoff } from "./outage_backoff.ts";
 import {
   type CasRequest,
   type Listing,
@@ -77,8 +77,8 @@
   private constructor(
     private readonly options: EtcdStoreOptions,
     private readonly agent: Agent,
-    private readonly budget: CallBudget,
-    private readonly outage: OutageGate,
+    private readonly budget: CallRateLimiter,
+    private readonly outage: OutageBackoff,
   ) {
     super();
   }
@@ -89,11 +89,11 @@
       connect: { timeout: CONNECT_TIMEOUT_MS },
       bodyTimeout: 0,
     });
-    const budget = CallBudget.create({
+    const budget = CallRateLimiter.create({
       perSecond: options.callsPerSecond,
       burst: options.callBurst,
     });
-    return new EtcdStore(options, agent, budget, OutageGate.create());
+    return new EtcdStore(options, agent, budget, OutageBackoff.create());
   }
 
   /** This service replicates its writes and does not go back. */
@@ -239,7 +239,7 @@
         ...this.requestOptions(body),
         signal: context.abort.signal,
       });
-      this.outage.noteAnswer();
+      this.outage.recordResponse();
       for await (const line of readLines(response.body)) {
         const { result } = WatchAnswer.parse(JSON.parse(line));
         if (result.canceled) {
@@ -257,7 +257,7 @@
       }
       return this.fail("unreachable", "the store ended the watch", { step });
     } catch (cause) {
-      this.outage.noteFailure(performance.now(), this.options.random());
+      this.outage.recordFailure(performance.now(), this.options.random());
       return this.fail("unreachable", "the watch of the store broke", {
         step,
         cause,
@@ -301,7 +301,7 @@
         signal: AbortSignal.timeout(this.options.timeoutMs),
       });
       const text = await response.body.text();
-      this.outage.noteAnswer();
+      this.outage.recordResponse();
       if (response.statusCode >= 500) {
         return err(
           this.fail(
@@ -340,7 +340,7 @@
         { step },
       );
     }
-    return this.budget.tryCall(nowMs)
+    return this.budget.tryAcquire(nowMs)
       ? undefined
       : this.fail("overloaded", "the budget of calls to the store is used up", {
         step,
--- a/packages/store/src/mod.ts
+++ b/packages/store/src/mod.ts
@@ -13,6 +13,6 @@
   type WatchOptions,
 } from "./store.ts";
 export { EtcdStore, type EtcdStoreOptions } from "./etcd_store.ts";
-export { CallBudget } from "./call_budget.ts";
-export { OutageGate } from "./outage_gate.ts";
-export { writeSettled } from "./write_settled.ts";
+export { CallRateLimiter } from "./call_rate_limiter.ts";
+export { OutageBackoff } from "./outage_backoff.ts";
+export { writeAndVerify } from "./write_and_verify.ts";
--- a/packages/store/src/outage_gate.ts
+++ b/packages/store/src/outage_backoff.ts
@@ -14,15 +14,15 @@
 const LONGEST_PAUSE_MS = 1_000;
 
 /** Decides whether a call may be made. Pure: time and randomness come in. */
-export class OutageGate {
+export class OutageBackoff {
   private failures = 0;
   private closedUntilMs = -Infinity;
 
   private constructor() {}
 
   /** Creates an open gate. */
-  static create(): OutageGate {
-    return new OutageGate();
+  static create(): OutageBackoff {
+    return new OutageBackoff();
   }
 
   /** Whether a call may be made now. */
@@ -31,7 +31,7 @@
   }
 
   /** Notes a call without an answer; `random` is a number from 0 up to 1. */
-  noteFailure(nowMs: number, random: number): void {
+  recordFailure(nowMs: number, random: number): void {
     const ceiling = Math.min(
       LONGEST_PAUSE_MS,
       FIRST_PAUSE_MS * 2 ** this.failures,
@@ -41,7 +41,7 @@
   }
 
   /** Notes an answer, whatever it said. */
-  noteAnswer(): void {
+  recordResponse(): void {
     this.failures = 0;
     this.closedUntilMs = -Infinity;
   }
--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -53,10 +53,10 @@
   readonly fromRevision: number;
   readonly handler: WatchHandler;
   /**
-   * Chooses how long to wait for an answer until the store is asked anew, in milliseconds; `hasRunOut` where the last wait
+   * Chooses how long to wait for an answer until the store is asked anew, in milliseconds; `hasTimedOut` where the last wait
    * ran to its end without a change. Ignored by stores that send keep-alives.
    */
-  readonly chooseWaitMs?: (hasRunOut: boolean) => number;
+  readonly choosePollTimeoutMs?: (hasTimedOut: boolean) => number;
 }
 
 /** A running watch. */
--- a/packages/store/src/write_settled.ts
+++ b/packages/store/src/write_and_verify.ts
@@ -22,7 +22,7 @@
  *   must contain something that is unique to the writer.
  * @returns the revision of the write; `conflict` if another value is there; else the last error.
  */
-export async function writeSettled(
+export async function writeAndVerify(
   store: Store,
   request: CasRequest,
   options: { isOwn?: (value: string | undefined) => boolean } = {},
--- a/packages/store/src/write_settled_test.ts
+++ b/packages/store/src/write_and_verify_test.ts
@@ -7,7 +7,7 @@
 import { expect } from "chai";
 import fc from "fast-check";
 import { errAsync, okAsync, type ResultAsync } from "neverthrow";
-import { OutageGate } from "./outage_gate.ts";
+import { OutageBackoff } from "./outage_backoff.ts";
 import {
   type CasRequest,
   type Listing,
@@ -15,7 +15,7 @@
   type StoredRecord,
   type Watch,
 } from "./store.ts";
-import { writeSettled } from "./write_settled.ts";
+import { writeAndVerify } from "./write_and_verify.ts";
 
 /** What the fake does with one call. */
 type Fate =
@@ -128,7 +128,7 @@
         fc.array(fate, { maxLength: 10 }),
         async (fates) => {
           const store = FakeStore.create(fates);
-          const written = await writeSettled(store, request);
+          const written = await writeAndVerify(store, request);
           if (written.isOk()) {
             expect(store.value).to.be.oneOf(["mine", "other"]);
             expect(written.value).to.be.above(5);
@@ -153,17 +153,17 @@
         "answers",
         "answers",
       ];
-      const written = await writeSettled(FakeStore.create(fates), request);
+      const written = await writeAndVerify(FakeStore.create(fates), request);
       expect(written._unsafeUnwrap()).to.equal(6);
     });
   });
 
   describe("while the store is away", () => {
     it("is held back for pauses that grow to a second and end with an answer", () => {
-      const gate = OutageGate.create();
+      const gate = OutageBackoff.create();
       const pauses = Array.from({ length: 8 }, (_, index) => {
         const nowMs = index * 10_000;
-        gate.noteFailure(nowMs, 0.999);
+        gate.recordFailure(nowMs, 0.999);
         return Array.from({ length: 1_100 }, (_, later) => later).find((
           later,
         ) => gate.mayCall(nowMs + later));
@@ -178,7 +178,7 @@
         1_000,
         1_000,
       ]);
-      gate.noteAnswer();
+      gate.recordResponse();
       expect(gate.mayCall(0)).to.equal(true);
     });
   });
