--- a/packages/store/src/call_rate_limiter.ts
+++ b/packages/store/src/call_rate_limiter.ts
@@ -1,17 +1,17 @@
 /**
- * Bounds the calls that one process makes to the store.
+ * Limits the rate of calls that one process makes to the store.
  *
- * What goes wrong without it: after an outage every daemon comes back with everything at once, and the
- * store, whose rates grow more slowly than the fleet, is down again. It shows as a second outage right
- * after the first. With a bound in each process the sum is bounded too.
+ * Without it, after an outage every daemon sends all of its calls at once, and the store, whose permitted rates
+ * grow more slowly than the fleet, goes down again: a second outage right after the first. A limit in each process
+ * also bounds the sum.
  *
  * @module
  */
 
-/** A token bucket of calls. */
+/** A token bucket. */
 export class CallRateLimiter {
   private tokens: number;
-  private lastMs: number | undefined;
+  private refilledAtMs: number | undefined;
 
   private constructor(
     private readonly limits: { perSecond: number; burst: number },
@@ -19,15 +19,15 @@
     this.tokens = limits.burst;
   }
 
-  /** Creates a full budget. */
+  /** Creates a limiter with a full bucket. */
   static create(limits: { perSecond: number; burst: number }): CallRateLimiter {
     return new CallRateLimiter(limits);
   }
 
-  /** Takes one call out of the budget, if there is one. */
+  /** Takes one token; `false` if there is none, so that the call must not be made. */
   tryAcquire(nowMs: number): boolean {
-    const elapsedMs = nowMs - (this.lastMs ?? nowMs);
-    this.lastMs = nowMs;
+    const elapsedMs = nowMs - (this.refilledAtMs ?? nowMs);
+    this.refilledAtMs = nowMs;
     this.tokens = Math.min(
       this.limits.burst,
       this.tokens + (elapsedMs / 1_000) * this.limits.perSecond,
--- a/packages/store/src/etcd_store.ts
+++ b/packages/store/src/etcd_store.ts
@@ -1,6 +1,6 @@
 /**
- * A client of etcd's version 3 interface in its published JSON form (`/v3/kv/range`, `/v3/kv/txn`,
- * `/v3/lease/...`, `/v3/watch`). Keys and values are base64, 64-bit numbers are decimal strings.
+ * Client of etcd's version 3 API over its JSON gateway (`/v3/kv/range`, `/v3/kv/txn`, `/v3/lease/...`, `/v3/watch`).
+ * Keys and values are base64, 64-bit numbers are decimal strings.
  *
  * @module
  */
@@ -24,18 +24,17 @@
 export interface EtcdStoreOptions {
   /** For example `http://127.0.0.1:2379`. */
   readonly url: string;
-  /** How long one call may take, in milliseconds. */
+  /** Timeout of one call, in milliseconds. */
   readonly timeoutMs: number;
   readonly callsPerSecond: number;
   readonly callBurst: number;
-  /** Gives numbers from 0 up to 1, for the spread of pauses. */
+  /** Returns numbers in [0, 1), for the jitter of pauses. */
   readonly random: () => number;
 }
 
-/** How long a connection attempt may take, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 1_000;
-/** Errors of a connection that was never made; no byte can have arrived. */
-const NOT_CONNECTED = new Set([
+/** Error codes of connection attempts that failed, so that no byte can have reached the store. */
+const NOT_CONNECTED_CODES = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
   "ENETUNREACH",
@@ -50,19 +49,19 @@
   value: z.string().default(""),
   mod_revision: int64,
 });
-const RangeAnswer = z.object({
+const RangeResponse = z.object({
   header: Header,
   kvs: z.array(KeyValue).default([]),
 });
-const TxnAnswer = z.object({
+const TxnResponse = z.object({
   header: Header,
   succeeded: z.boolean().default(false),
 });
-const LeaseAnswer = z.object({ ID: z.string() });
-const KeepAliveAnswer = z.object({
+const LeaseResponse = z.object({ ID: z.string() });
+const KeepAliveResponse = z.object({
   result: z.object({ ID: z.string(), TTL: int64 }),
 });
-const WatchAnswer = z.object({
+const WatchResponse = z.object({
   result: z.object({
     header: Header,
     canceled: z.boolean().default(false),
@@ -72,49 +71,49 @@
   }),
 });
 
-/** The platform's store behind etcd's published interface. */
+/** The platform's key-value service, accessed through etcd's API. */
 export class EtcdStore extends Store {
   private constructor(
     private readonly options: EtcdStoreOptions,
     private readonly agent: Agent,
-    private readonly budget: CallRateLimiter,
-    private readonly outage: OutageBackoff,
+    private readonly rateLimiter: CallRateLimiter,
+    private readonly outageBackoff: OutageBackoff,
   ) {
     super();
   }
 
-  /** Creates a client; it connects when it is first used. */
+  /** Creates a client; it connects on first use. */
   static create(options: EtcdStoreOptions): EtcdStore {
     const agent = new Agent({
       connect: { timeout: CONNECT_TIMEOUT_MS },
       bodyTimeout: 0,
     });
-    const budget = CallRateLimiter.create({
+    const rateLimiter = CallRateLimiter.create({
       perSecond: options.callsPerSecond,
       burst: options.callBurst,
     });
-    return new EtcdStore(options, agent, budget, OutageBackoff.create());
+    return new EtcdStore(options, agent, rateLimiter, OutageBackoff.create());
   }
 
-  /** This service replicates its writes and does not go back. */
+  /** Always 0: etcd replicates its writes and is not rolled back to an older snapshot. */
   override get era(): number {
     return 0;
   }
 
   override list(prefix: string): ResultAsync<Listing, BamboolinkError> {
     const body = {
-      key: encode(prefix),
-      range_end: encode(endOfPrefix(prefix)),
+      key: toBase64(prefix),
+      range_end: toBase64(endOfPrefix(prefix)),
     };
     return this.call({
       path: "/v3/kv/range",
       body,
       step: "store.list",
-      schema: RangeAnswer,
+      schema: RangeResponse,
     })
-      .map((answer) => ({
-        records: answer.kvs.map(toRecord),
-        revision: answer.header.revision,
+      .map((response) => ({
+        records: response.kvs.map(toRecord),
+        revision: response.header.revision,
       }));
   }
 
@@ -123,22 +122,22 @@
   ): ResultAsync<StoredRecord | undefined, BamboolinkError> {
     return this.call({
       path: "/v3/kv/range",
-      body: { key: encode(key) },
+      body: { key: toBase64(key) },
       step: "store.get",
-      schema: RangeAnswer,
+      schema: RangeResponse,
     })
-      .map((answer) => answer.kvs.map(toRecord)[0]);
+      .map((response) => response.kvs.map(toRecord)[0]);
   }
 
   override compareAndSwap(
     cas: CasRequest,
   ): ResultAsync<number, BamboolinkError> {
     const step = "store.compare_and_swap";
-    const key = encode(cas.key);
+    const key = toBase64(cas.key);
     const lease = cas.lease === undefined ? {} : { lease: cas.lease };
     const write = cas.value === undefined
       ? { request_delete_range: { key } }
-      : { request_put: { key, value: encode(cas.value), ...lease } };
+      : { request_put: { key, value: toBase64(cas.value), ...lease } };
     const compare = {
       key,
       target: "MOD",
@@ -150,14 +149,18 @@
       path: "/v3/kv/txn",
       body,
       step,
-      schema: TxnAnswer,
-      writes: true,
+      schema: TxnResponse,
+      isWrite: true,
     })
-      .andThen((answer) =>
-        answer.succeeded ? ok(answer.header.revision) : err(
-          this.fail("conflict", `${cas.key} was changed by somebody else`, {
-            step,
-          }),
+      .andThen((response) =>
+        response.succeeded ? ok(response.header.revision) : err(
+          this.createError(
+            "conflict",
+            `${cas.key} was changed by another writer`,
+            {
+              step,
+            },
+          ),
         )
       );
   }
@@ -170,10 +173,10 @@
       path: "/v3/lease/grant",
       body,
       step: "store.grant_lease",
-      schema: LeaseAnswer,
-      writes: true,
+      schema: LeaseResponse,
+      isWrite: true,
     })
-      .map((answer) => answer.ID);
+      .map((response) => response.ID);
   }
 
   override renewLease(lease: string): ResultAsync<void, BamboolinkError> {
@@ -182,13 +185,15 @@
       path: "/v3/lease/keepalive",
       body: { ID: lease },
       step,
-      schema: KeepAliveAnswer,
-      writes: true,
+      schema: KeepAliveResponse,
+      isWrite: true,
     })
-      .andThen((answer) =>
-        answer.result.TTL > 0
-          ? ok(undefined)
-          : err(this.fail("not_found", `lease ${lease} has lapsed`, { step }))
+      .andThen((response) =>
+        response.result.TTL > 0 ? ok(undefined) : err(
+          this.createError("not_found", `lease ${lease} has expired`, {
+            step,
+          }),
+        )
       );
   }
 
@@ -199,7 +204,7 @@
       body: { ID: lease },
       step: "store.revoke_lease",
       schema,
-      writes: true,
+      isWrite: true,
     })
       .map(() => undefined);
   }
@@ -211,13 +216,13 @@
     const abort = new AbortController();
     const body = {
       create_request: {
-        key: encode(prefix),
-        range_end: encode(endOfPrefix(prefix)),
+        key: toBase64(prefix),
+        range_end: toBase64(endOfPrefix(prefix)),
         start_revision: String(options.fromRevision),
       },
     };
     this.runWatch(body, { abort, handler: options.handler })
-      .then((end) => abort.signal.aborted || options.handler.onEnd(end));
+      .then((error) => abort.signal.aborted || options.handler.onEnd(error));
     return { stop: () => abort.abort() };
   }
 
@@ -230,49 +235,56 @@
     context: { abort: AbortController; handler: WatchHandler },
   ): Promise<BamboolinkError> {
     const step = "store.watch";
-    const held = this.holdBack(step);
-    if (held !== undefined) {
-      return held;
+    const rejection = this.findThrottlingError(step);
+    if (rejection !== undefined) {
+      return rejection;
     }
     try {
       const response = await request(`${this.options.url}/v3/watch`, {
         ...this.requestOptions(body),
         signal: context.abort.signal,
       });
-      this.outage.recordResponse();
+      this.outageBackoff.recordResponse();
       for await (const line of readLines(response.body)) {
-        const { result } = WatchAnswer.parse(JSON.parse(line));
+        const { result } = WatchResponse.parse(JSON.parse(line));
         if (result.canceled) {
-          return this.fail(
+          return this.createError(
             "not_found",
-            `changes before revision ${result.compact_revision} are gone`,
+            `changes before revision ${result.compact_revision} have been compacted`,
             { step },
           );
         }
         context.handler.onChanges(result.events.map(({ type, kv }) => ({
-          key: decode(kv.key),
-          value: type === "DELETE" ? undefined : decode(kv.value),
+          key: fromBase64(kv.key),
+          value: type === "DELETE" ? undefined : fromBase64(kv.value),
           revision: kv.mod_revision,
         })));
       }
-      return this.fail("unreachable", "the store ended the watch", { step });
+      return this.createError(
+        "unreachable",
+        "the store closed the watch stream",
+        { step },
+      );
     } catch (cause) {
-      this.outage.recordFailure(performance.now(), this.options.random());
-      return this.fail("unreachable", "the watch of the store broke", {
+      this.outageBackoff.recordFailure(
+        performance.now(),
+        this.options.random(),
+      );
+      return this.createError("unreachable", "the watch of the store failed", {
         step,
         cause,
       });
     }
   }
 
-  /** Makes one call; `writes` decides whether a lost answer leaves the effect unknown. */
+  /** Makes one call; `isWrite` decides whether a lost response leaves the effect unknown. */
   private call<S extends z.ZodType>(
     call: {
       path: string;
       body: unknown;
       step: string;
       schema: S;
-      writes?: boolean;
+      isWrite?: boolean;
     },
   ): ResultAsync<z.infer<S>, BamboolinkError> {
     return new ResultAsync(this.makeCall(call));
@@ -284,15 +296,15 @@
       body: unknown;
       step: string;
       schema: S;
-      writes?: boolean;
+      isWrite?: boolean;
     },
   ): Promise<Result<z.infer<S>, BamboolinkError>> {
     const { step } = call;
-    const held = this.holdBack(step);
-    if (held !== undefined) {
-      return err(held);
+    const rejection = this.findThrottlingError(step);
+    if (rejection !== undefined) {
+      return err(rejection);
     }
-    const lost: ErrorCode = call.writes === true
+    const lostResponseCode: ErrorCode = call.isWrite === true
       ? "unknown_effect"
       : "unreachable";
     try {
@@ -301,21 +313,21 @@
         signal: AbortSignal.timeout(this.options.timeoutMs),
       });
       const text = await response.body.text();
-      this.outage.recordResponse();
+      this.outageBackoff.recordResponse();
       if (response.statusCode >= 500) {
         return err(
-          this.fail(
-            lost,
-            `the store answered ${response.statusCode}: ${text}`,
+          this.createError(
+            lostResponseCode,
+            `the store responded with ${response.statusCode}: ${text}`,
             { step },
           ),
         );
       }
       if (response.statusCode !== 200) {
         return err(
-          this.fail(
+          this.createError(
             "refused",
-            `the store answered ${response.statusCode}: ${text}`,
+            `the store responded with ${response.statusCode}: ${text}`,
             { step },
           ),
         );
@@ -323,28 +335,32 @@
       return ok(call.schema.parse(JSON.parse(text)));
     } catch (cause) {
       const code =
-        NOT_CONNECTED.has((cause as NodeJS.ErrnoException).code ?? "")
+        NOT_CONNECTED_CODES.has((cause as NodeJS.ErrnoException).code ?? "")
           ? "unreachable"
-          : lost;
-      return err(this.fail(code, "the store did not answer", { step, cause }));
+          : lostResponseCode;
+      return err(
+        this.createError(code, "the store did not respond", { step, cause }),
+      );
     }
   }
 
-  /** Whether a call is held back here, by the budget or because the store is away. */
-  private holdBack(step: string): BamboolinkError | undefined {
+  /** The error of a call that must not be made, because of the rate limit or an outage; else `undefined`. */
+  private findThrottlingError(step: string): BamboolinkError | undefined {
     const nowMs = performance.now();
-    if (!this.outage.mayCall(nowMs)) {
-      return this.fail(
+    if (!this.outageBackoff.mayCall(nowMs)) {
+      return this.createError(
         "unreachable",
-        "the store was unreachable a moment ago",
+        "no call is made while backing off from an unreachable store",
         { step },
       );
     }
-    return this.budget.tryAcquire(nowMs)
-      ? undefined
-      : this.fail("overloaded", "the budget of calls to the store is used up", {
+    return this.rateLimiter.tryAcquire(nowMs) ? undefined : this.createError(
+      "overloaded",
+      "the rate limit of calls to the store is reached",
+      {
         step,
-      });
+      },
+    );
   }
 
   private requestOptions(
@@ -360,13 +376,13 @@
     };
   }
 
-  private fail(
+  private createError(
     code: ErrorCode,
     message: string,
-    at: { step: string; cause?: unknown },
+    details: { step: string; cause?: unknown },
   ): BamboolinkError {
     return BamboolinkError.create(code, message, {
-      ...at,
+      ...details,
       peer: new URL(this.options.url).host,
     });
   }
@@ -376,32 +392,34 @@
   body: AsyncIterable<Uint8Array>,
 ): AsyncGenerator<string> {
   const decoder = new TextDecoder();
-  let rest = "";
+  let partialLine = "";
   for await (const chunk of body) {
-    const lines = (rest + decoder.decode(chunk, { stream: true })).split("\n");
-    rest = lines.pop() ?? "";
+    const lines = (partialLine + decoder.decode(chunk, { stream: true })).split(
+      "\n",
+    );
+    partialLine = lines.pop() ?? "";
     yield* lines.filter((line) => line.trim() !== "");
   }
 }
 
 function toRecord(kv: z.infer<typeof KeyValue>): StoredRecord {
   return {
-    key: decode(kv.key),
-    value: decode(kv.value),
+    key: fromBase64(kv.key),
+    value: fromBase64(kv.value),
     revision: kv.mod_revision,
     era: 0,
   };
 }
 
-function encode(text: string): string {
+function toBase64(text: string): string {
   return Buffer.from(text, "utf8").toString("base64");
 }
 
-function decode(text: string): string {
+function fromBase64(text: string): string {
   return Buffer.from(text, "base64").toString("utf8");
 }
 
-/** The first key after all keys with a prefix. Our prefixes are ASCII and end in `/` or a letter. */
+/** The first key after all keys with a prefix. The prefixes in use are ASCII and end in `/` or a letter. */
 function endOfPrefix(prefix: string): string {
   return prefix.slice(0, -1) +
     String.fromCharCode(prefix.charCodeAt(prefix.length - 1) + 1);
--- a/packages/store/src/mod.ts
+++ b/packages/store/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The client of the platform's key-value service.
+ * Client of the platform's key-value service.
  *
  * @module
  */
--- a/packages/store/src/outage_backoff.ts
+++ b/packages/store/src/outage_backoff.ts
@@ -1,26 +1,24 @@
 /**
- * Holds calls back while the store is away.
+ * Holds back calls while the store is unreachable.
  *
- * What goes wrong without it: during an outage every loop of every daemon goes on calling, and when the
- * store comes back it is met by all of them at once. It shows as tens of calls a second from one daemon
- * to a store that is down. Here one call at a time finds out whether the store is back, after pauses
- * that grow and are spread.
+ * Without it, every loop of every daemon keeps calling during an outage, tens of calls per second from a single
+ * daemon, and all of them reach the store at the moment it recovers. With it, single calls test whether the store is
+ * back, after pauses that grow exponentially with jitter.
  *
  * @module
  */
 
-/** The first pause, and the longest, in milliseconds. */
-const FIRST_PAUSE_MS = 50;
-const LONGEST_PAUSE_MS = 1_000;
+const INITIAL_PAUSE_MS = 50;
+const MAX_PAUSE_MS = 1_000;
 
-/** Decides whether a call may be made. Pure: time and randomness come in. */
+/** Exponential backoff with jitter. Pure: time and randomness are parameters. */
 export class OutageBackoff {
   private failures = 0;
   private closedUntilMs = -Infinity;
 
   private constructor() {}
 
-  /** Creates an open gate. */
+  /** Creates a backoff that allows calls. */
   static create(): OutageBackoff {
     return new OutageBackoff();
   }
@@ -30,17 +28,17 @@
     return nowMs >= this.closedUntilMs;
   }
 
-  /** Notes a call without an answer; `random` is a number from 0 up to 1. */
+  /** Records a call that got no response; `random` is a number in [0, 1). */
   recordFailure(nowMs: number, random: number): void {
-    const ceiling = Math.min(
-      LONGEST_PAUSE_MS,
-      FIRST_PAUSE_MS * 2 ** this.failures,
+    const maxPauseMs = Math.min(
+      MAX_PAUSE_MS,
+      INITIAL_PAUSE_MS * 2 ** this.failures,
     );
     this.failures = Math.min(this.failures + 1, 10);
-    this.closedUntilMs = nowMs + ceiling * (0.5 + random / 2);
+    this.closedUntilMs = nowMs + maxPauseMs * (0.5 + random / 2);
   }
 
-  /** Notes an answer, whatever it said. */
+  /** Records a response of any status, and allows calls again. */
   recordResponse(): void {
     this.failures = 0;
     this.closedUntilMs = -Infinity;
--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -1,16 +1,16 @@
 /**
- * What bamboolink needs of the platform's key-value service, whatever its protocol.
+ * Interface to the platform's key-value service, independent of its protocol.
  *
  * @module
  */
 import type { BamboolinkError } from "@bamboolink/errors";
 import type { ResultAsync } from "neverthrow";
 
-/** One record as the store holds it. */
+/** A record as read from the store. */
 export interface StoredRecord {
   readonly key: string;
   readonly value: string;
-  /** The store's revision of the record's last write, in the order over all its eras. */
+  /** Revision of the record's last write, ordered across all eras of the store. */
   readonly revision: number;
   /** The era of the store in which the record was read. */
   readonly era: number;
@@ -22,20 +22,20 @@
   readonly revision: number;
 }
 
-/** A write that takes effect only on what was expected. */
+/** A write that takes effect only if the record is at the expected revision. */
 export interface CasRequest {
   readonly key: string;
   /** The new value, or `undefined` to delete. */
   readonly value: string | undefined;
-  /** Revision of the record that is replaced; 0 where there must be none. */
+  /** Revision of the record that is replaced; 0 if the record must not exist. */
   readonly expectedRevision: number;
-  /** The record goes away with this lease. */
+  /** Lease to which the record is attached: it is deleted when the lease ends. */
   readonly lease?: string;
 }
 
-/** Receives what a watch sees. */
+/** Callbacks of a watch. */
 export interface WatchHandler {
-  /** Changes in the order of their revisions; `value` is `undefined` for deletions. */
+  /** Called with changes in the order of their revisions; `value` is `undefined` for deletions. */
   readonly onChanges: (
     changes: readonly {
       key: string;
@@ -43,37 +43,43 @@
       revision: number;
     }[],
   ) => void;
-  /** The watch ended; `not_found` means that changes were missed and a new listing is needed. */
+  /**
+   * Called when the watch has ended; `not_found` means that changes were missed and the records must be listed
+   * again.
+   */
   readonly onEnd: (error: BamboolinkError) => void;
 }
 
-/** How a watch runs. */
+/** Options of a watch. */
 export interface WatchOptions {
-  /** The first revision that is of interest. */
+  /** The first revision whose changes are reported. */
   readonly fromRevision: number;
   readonly handler: WatchHandler;
   /**
-   * Chooses how long to wait for an answer until the store is asked anew, in milliseconds; `hasTimedOut` where the last wait
-   * ran to its end without a change. Ignored by stores that send keep-alives.
+   * Chooses the timeout of the next long poll, in milliseconds; `hasTimedOut` is whether the last one reached its
+   * timeout without a change. Ignored by stores that send keep-alives.
    */
   readonly choosePollTimeoutMs?: (hasTimedOut: boolean) => number;
 }
 
 /** A running watch. */
 export interface Watch {
-  /** Ends the watch without a call of `onEnd`. */
+  /** Ends the watch without calling `onEnd`. */
   stop(): void;
 }
 
 /**
- * The platform's key-value service. Its revisions rise also when it comes back from an older copy, since they count
- * within eras (`orderRevision`).
+ * The platform's key-value service. Its revisions keep increasing when it is restored from an older snapshot,
+ * because they are numbered within eras (`toMonotonicRevision`).
  *
- * Errors tell three cases apart: `refused` and `conflict` (surely without effect), `unreachable`
- * (no byte can have arrived) and `unknown_effect` (a write may have taken effect or may still do so).
+ * Error codes distinguish three cases: `refused` and `conflict` (certainly no effect), `unreachable` (no byte can
+ * have reached the store) and `unknown_effect` (a write may have taken effect, or may still do so).
  */
 export abstract class Store {
-  /** How often the store has come back from an older copy, as far as its answers have told; 0 where it never does. */
+  /**
+   * How often the store was restored from an older snapshot, according to its responses so far; 0 for one that
+   * never is.
+   */
   abstract get era(): number;
 
   /** Lists the records below a prefix. */
@@ -84,21 +90,21 @@
     key: string,
   ): ResultAsync<StoredRecord | undefined, BamboolinkError>;
 
-  /** Writes a record if it is as expected, and returns the revision of the write. */
+  /** Writes a record if it is at the expected revision, and returns the revision of the write; else `conflict`. */
   abstract compareAndSwap(
     request: CasRequest,
   ): ResultAsync<number, BamboolinkError>;
 
-  /** Grants a lease and returns its identity. */
+  /** Grants a lease and returns its ID. */
   abstract grantLease(ttlSeconds: number): ResultAsync<string, BamboolinkError>;
 
-  /** Renews a lease; `not_found` once it has lapsed. */
+  /** Renews a lease; `not_found` once it has expired. */
   abstract renewLease(lease: string): ResultAsync<void, BamboolinkError>;
 
-  /** Ends a lease and the records that hang on it. */
+  /** Ends a lease and deletes the records attached to it. */
   abstract revokeLease(lease: string): ResultAsync<void, BamboolinkError>;
 
-  /** Watches all records below a prefix from a revision on, that one included. */
+  /** Watches all records below a prefix, starting with the changes of `options.fromRevision`. */
   abstract watch(prefix: string, options: WatchOptions): Watch;
 
   /** Closes all connections. */
--- a/packages/store/src/write_and_verify.ts
+++ b/packages/store/src/write_and_verify.ts
@@ -1,5 +1,5 @@
 /**
- * A compare-and-swap whose lost answers are settled by reading back.
+ * A compare-and-swap that reads the record back when the response to the write is lost.
  *
  * @module
  */
@@ -7,20 +7,21 @@
 import { err, ok, type Result } from "neverthrow";
 import type { CasRequest, Store } from "./store.ts";
 
-/** How often a write is tried before its effect is reported as unknown. */
-const ATTEMPTS = 4;
+/** Write attempts before the effect is reported as unknown. */
+const MAX_ATTEMPTS = 4;
 
 /**
- * Writes a record and finds out whether the write took effect.
+ * Writes a record and determines whether the write took effect.
  *
- * What goes wrong without it: the store applies a write and its answer is lost; the writer takes it for
- * failed, or repeats it and is told of a conflict with itself. It shows as an operator who is told
- * that an apply lost a race against nobody. Repeating the same swap is harmless, because it can take
- * effect only once, and reading back tells whose value is there.
+ * The store may apply a write whose response is then lost. A writer that takes this for a failure, or repeats the
+ * write and gets a conflict with its own first attempt, makes an operator see an `apply` lose a race against
+ * nobody. Repeating the same compare-and-swap is harmless because it can take effect only once, and reading the
+ * record back shows whose value it holds.
  *
- * @param isOwn tells this writer's value from any other; by default by comparing the text, so values
- *   must contain something that is unique to the writer.
- * @returns the revision of the write; `conflict` if another value is there; else the last error.
+ * @param options.isOwn whether a value was written by this writer. By default the text is compared, so values must
+ *   contain something that is unique to the writer.
+ * @returns the revision of the write; `conflict` if the record holds another value; `unknown_effect` if the write
+ *   may have taken effect; otherwise the last error.
  */
 export async function writeAndVerify(
   store: Store,
@@ -29,20 +30,20 @@
 ): Promise<Result<number, BamboolinkError>> {
   const isOwn = options.isOwn ?? ((value) => value === request.value);
   let mayHaveWritten = false;
-  let last = BamboolinkError.create("internal", "no attempt was made", {
+  let lastError = BamboolinkError.create("internal", "no attempt was made", {
     step: "store.write_settled",
   });
-  for (let attempt = 0; attempt < ATTEMPTS; attempt += 1) {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
     const written = await store.compareAndSwap(request);
     if (written.isOk()) {
       return ok(written.value);
     }
-    last = written.error;
-    mayHaveWritten ||= last.code === "unknown_effect";
-    const retry = last.code === "unknown_effect" ||
-      (last.code === "conflict" && mayHaveWritten);
+    lastError = written.error;
+    mayHaveWritten ||= lastError.code === "unknown_effect";
+    const retry = lastError.code === "unknown_effect" ||
+      (lastError.code === "conflict" && mayHaveWritten);
     if (!retry) {
-      return err(mayHaveWritten ? asUnknown(last) : last);
+      return err(mayHaveWritten ? toUnknownEffect(lastError) : lastError);
     }
     const found = await store.get(request.key);
     if (found.isErr()) {
@@ -52,7 +53,7 @@
       return ok(found.value?.revision ?? 0);
     }
     if ((found.value?.revision ?? 0) !== request.expectedRevision) {
-      const message = `${request.key} was changed by somebody else`;
+      const message = `${request.key} was changed by another writer`;
       return err(
         BamboolinkError.create("conflict", message, {
           step: "store.write_settled",
@@ -60,12 +61,12 @@
       );
     }
   }
-  return err(mayHaveWritten ? asUnknown(last) : last);
+  return err(mayHaveWritten ? toUnknownEffect(lastError) : lastError);
 }
 
-function asUnknown(error: BamboolinkError): BamboolinkError {
+function toUnknownEffect(error: BamboolinkError): BamboolinkError {
   const message =
-    `it could not be found out whether the write took effect: ${error.message}`;
+    `could not determine whether the write took effect: ${error.message}`;
   return BamboolinkError.create("unknown_effect", message, {
     step: error.step,
     cause: error,
--- a/packages/store/src/write_and_verify_test.ts
+++ b/packages/store/src/write_and_verify_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of writes whose answers are lost, against a small fake of the store.
+ * Tests of writes whose responses are lost, against a fake store, and of the backoff during an outage.
  *
  * @module
  */
@@ -17,44 +17,44 @@
 } from "./store.ts";
 import { writeAndVerify } from "./write_and_verify.ts";
 
-/** What the fake does with one call. */
-type Fate =
-  | "answers"
-  | "lost_before"
-  | "lost_after"
+/** How the fake store treats one call. */
+type CallOutcome =
+  | "responds"
+  | "request_lost"
+  | "response_lost"
   | "never_connects"
   | "other_writes_first";
 
-/** One record, and a fate for each call in turn. */
+/** Holds a single record and treats its calls by the given outcomes in turn. */
 class FakeStore extends Store {
   value: string | undefined = "before";
   readonly era = 0;
   revision = 5;
 
-  private constructor(private readonly fates: Fate[]) {
+  private constructor(private readonly outcomes: CallOutcome[]) {
     super();
   }
 
-  static create(fates: readonly Fate[]): FakeStore {
-    return new FakeStore([...fates]);
+  static create(outcomes: readonly CallOutcome[]): FakeStore {
+    return new FakeStore([...outcomes]);
   }
 
   override compareAndSwap(
     request: CasRequest,
   ): ResultAsync<number, BamboolinkError> {
-    const fate = this.fates.shift() ?? "answers";
-    if (fate === "never_connects") {
+    const outcome = this.outcomes.shift() ?? "responds";
+    if (outcome === "never_connects") {
       return errAsync(this.fail("unreachable"));
     }
-    if (fate === "other_writes_first") {
+    if (outcome === "other_writes_first") {
       this.write("other");
     }
-    const applied = fate !== "lost_before" &&
+    const applied = outcome !== "request_lost" &&
       this.revision === request.expectedRevision;
     if (applied) {
       this.write(request.value);
     }
-    if (fate === "lost_before" || fate === "lost_after") {
+    if (outcome === "request_lost" || outcome === "response_lost") {
       return errAsync(this.fail("unknown_effect"));
     }
     return applied ? okAsync(this.revision) : errAsync(this.fail("conflict"));
@@ -63,9 +63,9 @@
   override get(
     key: string,
   ): ResultAsync<StoredRecord | undefined, BamboolinkError> {
-    const fate = this.fates.shift() ?? "answers";
-    const lost = fate === "lost_before" || fate === "never_connects";
-    return lost ? errAsync(this.fail("unreachable")) : okAsync({
+    const outcome = this.outcomes.shift() ?? "responds";
+    const isLost = outcome === "request_lost" || outcome === "never_connects";
+    return isLost ? errAsync(this.fail("unreachable")) : okAsync({
       key,
       value: this.value ?? "",
       revision: this.revision,
@@ -109,25 +109,25 @@
   }
 }
 
-const fate = fc.constantFrom<Fate>(
-  "answers",
-  "lost_before",
-  "lost_after",
+const anyOutcome = fc.constantFrom<CallOutcome>(
+  "responds",
+  "request_lost",
+  "response_lost",
   "never_connects",
   "other_writes_first",
 );
 const request: CasRequest = { key: "k", value: "mine", expectedRevision: 5 };
 
-describe("a write", () => {
-  describe("under any sequence of lost calls and racing writers", () => {
-    // Symptom: an operator is told of a conflict with nobody, or of a success that is not there.
-    // Sequence: the write takes effect, its answer is lost, the writer tries again.
-    // Cause: taking a lost answer for a failure, or the second attempt's conflict for somebody else's.
-    it("tells the truth about its effect, or that it does not know", async () => {
+describe("writeAndVerify", () => {
+  describe("with any sequence of lost calls and concurrent writers", () => {
+    // Guards against reporting a conflict with nobody, or a success that never took place: the write takes effect, its
+    // response is lost, and the writer, which tries again, takes the lost response for a failure or the conflict of
+    // the second attempt for that of another writer.
+    it("reports the effect correctly, or as unknown", async () => {
       const property = fc.asyncProperty(
-        fc.array(fate, { maxLength: 10 }),
-        async (fates) => {
-          const store = FakeStore.create(fates);
+        fc.array(anyOutcome, { maxLength: 10 }),
+        async (outcomes) => {
+          const store = FakeStore.create(outcomes);
           const written = await writeAndVerify(store, request);
           if (written.isOk()) {
             expect(store.value).to.be.oneOf(["mine", "other"]);
@@ -145,28 +145,28 @@
     });
   });
 
-  describe("that conflicts with its own first attempt", () => {
-    it("is found to have taken effect", async () => {
-      const fates: Fate[] = [
-        "lost_after",
+  describe("with a conflict with its own first attempt", () => {
+    it("reports that the write took effect", async () => {
+      const outcomes: CallOutcome[] = [
+        "response_lost",
         "never_connects",
-        "answers",
-        "answers",
+        "responds",
+        "responds",
       ];
-      const written = await writeAndVerify(FakeStore.create(fates), request);
+      const written = await writeAndVerify(FakeStore.create(outcomes), request);
       expect(written._unsafeUnwrap()).to.equal(6);
     });
   });
 
-  describe("while the store is away", () => {
-    it("is held back for pauses that grow to a second and end with an answer", () => {
-      const gate = OutageBackoff.create();
+  describe("while the store is unreachable", () => {
+    it("holds calls back for pauses that grow to 1 s and end with a response", () => {
+      const backoff = OutageBackoff.create();
       const pauses = Array.from({ length: 8 }, (_, index) => {
         const nowMs = index * 10_000;
-        gate.recordFailure(nowMs, 0.999);
-        return Array.from({ length: 1_100 }, (_, later) => later).find((
-          later,
-        ) => gate.mayCall(nowMs + later));
+        backoff.recordFailure(nowMs, 0.999);
+        return Array.from({ length: 1_100 }, (_, delayMs) => delayMs).find((
+          delayMs,
+        ) => backoff.mayCall(nowMs + delayMs));
       });
       expect(pauses).to.deep.equal([
         50,
@@ -178,8 +178,8 @@
         1_000,
         1_000,
       ]);
-      gate.recordResponse();
-      expect(gate.mayCall(0)).to.equal(true);
+      backoff.recordResponse();
+      expect(backoff.mayCall(0)).to.equal(true);
     });
   });
 });
