--- a/packages/membership/src/membership_test.ts
+++ b/packages/membership/src/membership_test.ts
@@ -154,7 +154,7 @@
   }
 
   // Guards against slow failure detection: at 195 daemons a lost one counted as alive for 10 s, and live ones as
-  // unresponsive. Liveness was sent only as part of full reports, of which a datagram holds 8, so that news of each
+  // unresponsive. Liveness was sent only as part of full reports, of which a datagram holds 8, so that updates on each
   // daemon arrived at random after seconds.
   [72, 195].forEach((size) => {
     describe(`with ${size} daemons in three availability zones`, () => {
--- a/packages/router/src/member_directory.ts
+++ b/packages/router/src/member_directory.ts
@@ -1,5 +1,5 @@
 /**
- * Finds the other daemons through the store: each leaves its address there when it starts.
+ * Discovers other daemons through the store, in which each daemon registers its address when it starts.
  *
  * @module
  */
@@ -10,99 +10,99 @@
 import type { Result, ResultAsync } from "neverthrow";
 import { isAddress } from "./gossip_node.ts";
 
-/** All records of the product lie below this. */
-const PRODUCT_PREFIX = "bamboolink/";
-/** Addresses of all daemons lie below this. */
+/** Prefix of all records of bamboolink. */
+const ROOT_PREFIX = "bamboolink/";
+/** Prefix of the records that hold the daemons' addresses. */
 const MEMBER_PREFIX = "bamboolink/members/";
-/** Pause between two tries to register, in milliseconds. */
-const RETRY_MS = 500;
+const RETRY_DELAY_MS = 500;
 
-/** What the directory needs. */
+/** Dependencies of the directory. */
 export interface MemberDirectoryContext {
   readonly store: Store;
   readonly view: MemberView;
   readonly logger: Logger;
-  /** Called with the revision of the store at which the registration was written. */
+  /** Called with the store revision of the registration. */
   readonly onRegistered: (revision: number) => void;
-  /** Called with each record of the product that is not an address. */
+  /** Called with each record of bamboolink that is not a daemon's address. */
   readonly onRecord: (record: StoredRecord) => void;
 }
 
-/** The addresses of the daemons. */
+/** Registers the own daemon and reads the addresses of the others. */
 export class MemberDirectory {
   private timer: NodeJS.Timeout | undefined;
   private isStopped = false;
 
   private constructor(private readonly context: MemberDirectoryContext) {}
 
-  /** Creates a directory. */
+  /** Creates a directory that has not registered yet. */
   static create(context: MemberDirectoryContext): MemberDirectory {
     return new MemberDirectory(context);
   }
 
-  /** Begins to register the own daemon. */
+  /** Starts to register the own daemon, with retries until it succeeds. */
   start(): void {
     void this.register();
   }
 
-  /** Stops trying. */
+  /** Cancels retries. */
   stop(): void {
     this.isStopped = true;
     clearTimeout(this.timer);
   }
 
   /**
-   * Writes the addresses of living daemons again that a store has lost which came back from an older copy. Without them a
-   * daemon that starts would not find those, and they would not find each other once all have started again.
+   * Rewrites the addresses of live daemons that are missing after the store was restored from an older snapshot.
+   * Without them, a starting daemon would not find those daemons, and they would not find each other after a
+   * restart of all.
    */
   async restoreMissing(nowMs: number): Promise<void> {
     const { store, view } = this.context;
     const listing = await store.list(MEMBER_PREFIX);
     if (listing.isErr()) {
       this.logFailure("members.restore", listing.error);
-      this.later(() => this.restoreMissing(nowMs));
+      this.retryLater(() => this.restoreMissing(nowMs));
       return;
     }
     const present = new Set(listing.value.records.map(({ key }) => key));
-    const lost = [view.ownReport, ...view.alive(nowMs)]
+    const missing = [view.ownReport, ...view.alive(nowMs)]
       .filter(({ address }) => !present.has(MEMBER_PREFIX + address));
     const written = await Promise.all(
-      lost.map((report) =>
-        this.write(0, report).mapErr((cause) =>
+      missing.map((report) =>
+        this.writeAddress(0, report).mapErr((cause) =>
           this.logFailure("members.restore", cause)
         )
       ),
     );
     if (written.some((result) => result.isErr())) {
-      this.later(() => this.restoreMissing(nowMs));
+      this.retryLater(() => this.restoreMissing(nowMs));
     }
   }
 
   /**
-   * Reads what others have left. Daemons register before they read, so of two that start together one
-   * finds the other; from then on they hear of each other by gossip, and the store is not watched.
+   * Lists all records of bamboolink. Daemons register before they list, so of two that start together at least one
+   * finds the other. Later they learn of each other by gossip, so the store is not watched.
    */
-  private async read(): Promise<void> {
-    const listing = await this.context.store.list(PRODUCT_PREFIX);
+  private async listRecords(): Promise<void> {
+    const listing = await this.context.store.list(ROOT_PREFIX);
     listing.match(
-      ({ records }) => this.take(records),
+      ({ records }) => this.handleRecords(records),
       (cause) => {
         this.logFailure("members.list", cause);
-        this.later(() => this.read());
+        this.retryLater(() => this.listRecords());
       },
     );
   }
 
-  private take(records: readonly StoredRecord[]): void {
+  private handleRecords(records: readonly StoredRecord[]): void {
     const { onRecord } = this.context;
     records.forEach((record) =>
       record.key.startsWith(MEMBER_PREFIX)
-        ? this.name(record.key.slice(MEMBER_PREFIX.length))
+        ? this.addMember(record.key.slice(MEMBER_PREFIX.length))
         : onRecord(record)
     );
   }
 
-  private name(address: string): void {
+  private addMember(address: string): void {
     const { view, logger } = this.context;
     if (isAddress(address)) {
       view.addAddress(address);
@@ -111,51 +111,55 @@
     }
   }
 
-  private later(step: () => Promise<void>): void {
+  private retryLater(task: () => Promise<void>): void {
     if (!this.isStopped) {
-      this.timer = setTimeout(() => void step(), RETRY_MS);
+      this.timer = setTimeout(() => void task(), RETRY_DELAY_MS);
     }
   }
 
   /**
-   * Writes the own address. It is written at each start, also when it is there already: the revision
-   * of the write is higher than any that an earlier process of this daemon has seen.
+   * Writes the own address. This is done at each start, even if the record exists, because the revision of the
+   * write is higher than any that an earlier process of this daemon has seen.
    *
-   * Most starts of a fleet are first ones, so the address is taken for new, which saves a read for each of them.
+   * Most starts in a fleet are first starts, so the record is assumed not to exist, which saves a read for each of
+   * them.
    */
   private async register(): Promise<void> {
-    const written = await this.write(0);
+    const written = await this.writeAddress(0);
     if (written.isErr() && written.error.code === "conflict") {
-      await this.registerAgain();
+      await this.reregister();
       return;
     }
-    this.finish(written, { hasRead: false });
+    this.finishRegistration(written, { hasListed: false });
   }
 
   /**
-   * The address is there from an earlier process, so others find this daemon already; what is read to write it again
-   * tells of them, too. While the store turns this daemon away, it can't list, but others read a single record for it.
+   * Rewrites the address that an earlier process has registered. Others can find this daemon already, and the
+   * listing that returns the current revision also returns their addresses. While this daemon can't
+   * reach the store, it can't list, but another daemon can read a single record for it.
    */
-  private async registerAgain(): Promise<void> {
+  private async reregister(): Promise<void> {
     const { store } = this.context;
-    const listing = await store.list(PRODUCT_PREFIX);
+    const listing = await store.list(ROOT_PREFIX);
     if (listing.isErr()) {
       const written = await store.get(this.ownKey)
-        .andThen((found) => this.write(found?.revision ?? 0));
-      this.finish(written, { hasRead: false });
+        .andThen((found) => this.writeAddress(found?.revision ?? 0));
+      this.finishRegistration(written, { hasListed: false });
       return;
     }
     const { records } = listing.value;
-    this.take(records);
-    const own = records.find(({ key }) => key === this.ownKey);
-    this.finish(await this.write(own?.revision ?? 0), { hasRead: true });
+    this.handleRecords(records);
+    const ownRecord = records.find(({ key }) => key === this.ownKey);
+    this.finishRegistration(await this.writeAddress(ownRecord?.revision ?? 0), {
+      hasListed: true,
+    });
   }
 
   private get ownKey(): string {
     return MEMBER_PREFIX + this.context.view.ownReport.address;
   }
 
-  private write(
+  private writeAddress(
     expectedRevision: number,
     { address, availabilityZone }: MemberReport = this.context.view.ownReport,
   ): ResultAsync<number, BamboolinkError> {
@@ -166,21 +170,21 @@
     });
   }
 
-  private finish(
+  private finishRegistration(
     written: Result<number, BamboolinkError>,
-    { hasRead }: { hasRead: boolean },
+    { hasListed }: { hasListed: boolean },
   ): void {
     const { logger, view, onRegistered } = this.context;
     const { address } = view.ownReport;
     if (written.isErr()) {
       this.logFailure("register", written.error);
-      this.later(() => this.register());
+      this.retryLater(() => this.register());
       return;
     }
     logger.log("member_registered", { address, revision: written.value });
     onRegistered(written.value);
-    if (!hasRead) {
-      void this.read();
+    if (!hasListed) {
+      void this.listRecords();
     }
   }
 
--- a/packages/router/src/member_directory_test.ts
+++ b/packages/router/src/member_directory_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of what a start costs the store, and of whom a starting daemon finds.
+ * Tests of the store calls that a daemon makes when it starts, and of the daemons that it finds.
  *
  * @module
  */
@@ -16,8 +16,8 @@
 const OWN_KEY = `bamboolink/members/${OWN}`;
 const OTHER_KEY = "bamboolink/members/other:1";
 
-/** A store that holds revisions by key, and notes its calls. */
-class NotingStore {
+/** A store that holds revisions by key and records its calls. */
+class RecordingStore {
   readonly calls: string[] = [];
   private revision = 10;
 
@@ -63,14 +63,14 @@
 
 async function start(stored: readonly string[], mayList = true) {
   const revisions = new Map(stored.map((key) => [key, 5]));
-  const store = new NotingStore(revisions, mayList);
-  const named: string[] = [];
+  const store = new RecordingStore(revisions, mayList);
+  const memberAddresses: string[] = [];
   const registered: number[] = [];
   const directory = MemberDirectory.create({
     store: store as unknown as Store,
     view: {
       ownReport: { address: OWN, availabilityZone: "a" },
-      addAddress: (address: string) => named.push(address),
+      addAddress: (address: string) => memberAddresses.push(address),
     } as unknown as MemberView,
     logger: Logger.createBounded("test", { level: "error" }),
     onRegistered: (revision) => registered.push(revision),
@@ -79,28 +79,30 @@
   directory.start();
   await nextTurn();
   directory.stop();
-  return { calls: store.calls, named, registered };
+  return { calls: store.calls, memberAddresses, registered };
 }
 
 describe("member directory", () => {
-  // Symptom: a third of all calls to the store are those of starting daemons.
-  // Sequence: each reads its own record, which is not there yet, writes it, and lists all.
-  // Cause: the first read is of use to a daemon that starts again only.
-  it("writes and lists at a first start, in this order", async () => {
-    const { calls, named, registered } = await start([OTHER_KEY]);
+  // Guards against an additional read at each start, which helps only a restarting daemon: when each daemon read
+  // its own record, wrote it and listed all, starting daemons made a third of all calls to the store.
+  it("writes, then lists, at the first start", async () => {
+    const { calls, memberAddresses, registered } = await start([OTHER_KEY]);
     expect(calls).to.deep.equal(["write", "list"]);
-    expect(named).to.include("other:1");
+    expect(memberAddresses).to.include("other:1");
     expect(registered).to.deep.equal([11]);
   });
 
-  it("writes a new revision when it starts again, and finds the others", async () => {
-    const { calls, named, registered } = await start([OWN_KEY, OTHER_KEY]);
+  it("writes a new revision and finds the others when it restarts", async () => {
+    const { calls, memberAddresses, registered } = await start([
+      OWN_KEY,
+      OTHER_KEY,
+    ]);
     expect(calls).to.deep.equal(["write", "list", "write"]);
-    expect(named).to.include("other:1");
+    expect(memberAddresses).to.include("other:1");
     expect(registered).to.deep.equal([11]);
   });
 
-  it("registers again also where it can't list", async () => {
+  it("registers when it restarts and can't list", async () => {
     const { calls, registered } = await start([OWN_KEY], false);
     expect(calls.slice(0, 4)).to.deep.equal(["write", "list", "get", "write"]);
     expect(registered).to.deep.equal([11]);
--- a/packages/router/src/peer_client.ts
+++ b/packages/router/src/peer_client.ts
@@ -1,6 +1,6 @@
 /**
- * Questions that daemons ask each other: for the configuration, and for a call to the store on behalf
- * of a daemon that the store turns away.
+ * Requests between daemons: for the configuration, for ownership records, and for store calls on behalf of a daemon
+ * that can't reach the store.
  *
  * @module
  */
@@ -12,127 +12,130 @@
 import { steadyMs } from "./clock.ts";
 import { Connection } from "./exchange.ts";
 
-/** Where the configuration document is asked for. */
+/** Path that returns the configuration document. */
 export const CONFIGURATION_PATH = "/bamboolink/configuration";
-/** Where all records of ownership are asked for. */
+/** Path that returns all ownership records. */
 export const OWNERSHIP_PATH = "/bamboolink/ownership";
-/** Where a record of the store is asked for. */
+/** Path that reads a record of the store. */
 export const STORE_GET_PATH = "/bamboolink/store/get";
-/** Where a conditional write to the store is asked for. */
+/** Path that performs a compare-and-swap in the store. */
 export const STORE_WRITE_PATH = "/bamboolink/store/write";
-/** How long a peer may take, in milliseconds; it may itself have to wait for the store. */
-const TIMEOUT_MS = 1_500;
+/** Long enough for a peer that has to wait for the store. */
+const REQUEST_TIMEOUT_MS = 1_500;
 
-/** What is asked of a peer about one record. */
+/** Body of a request to read a record. */
 export const ReadRecordRequest = z.object({ key: z.string() });
-/** A conditional write that a peer is asked for. */
+/** Body of a request for a compare-and-swap. */
 export const WriteRecordRequest = z.object({
   key: z.string(),
   value: z.string().optional(),
   expectedRevision: z.int().min(0),
 });
-const OwnershipAnswer = z.array(z.object({
+const OwnershipRecordsResponse = z.array(z.object({
   service: z.string(),
   revision: z.int(),
   text: z.string(),
 }));
-const GetAnswer = z.object({
+const ReadRecordResponse = z.object({
   record: z.object({
     key: z.string(),
     value: z.string(),
     revision: z.int(),
     era: z.int(),
   }).nullable(),
-  /** The store's era as the peer knows it. */
+  /** The store's era as known to the peer. */
   era: z.int(),
 });
-const WriteAnswer = z.union([
+const WriteRecordResponse = z.union([
   z.object({ revision: z.int(), era: z.int() }),
   z.object({
     code: z.enum(["conflict", "refused", "unreachable", "unknown_effect"]),
   }),
 ]);
 
-/** What a peer has found for a key. */
-export interface FoundRecord {
+/** The record that a peer has read, and the store's era as known to the peer. */
+export interface ReadRecordResult {
   readonly record: StoredRecord | undefined;
   readonly era: number;
 }
 
-/** What a peer has written. */
-export interface WrittenRecord {
+/** The revision that a peer has written, and the store's era as known to the peer. */
+export interface WriteRecordResult {
   readonly revision: number;
   readonly era: number;
 }
 
-/** Asks other daemons. */
+/** Sends requests to other daemons. */
 export class PeerClient {
   private constructor() {}
 
-  /** Creates one. */
   static create(): PeerClient {
     return new PeerClient();
   }
 
-  /** Asks for the configuration document in force at a peer. */
+  /** Fetches the configuration document in force at a peer. */
   fetchConfiguration(peer: string): ResultAsync<string, BamboolinkError> {
-    return ask(peer, { target: CONFIGURATION_PATH });
+    return sendRequest(peer, { target: CONFIGURATION_PATH });
   }
 
-  /** Asks for all records of ownership that a peer knows. */
+  /** Fetches all ownership records that a peer knows. */
   fetchOwnershipRecords(
     peer: string,
   ): ResultAsync<
     { service: string; revision: number; text: string }[],
     BamboolinkError
   > {
-    return ask(peer, { target: OWNERSHIP_PATH })
-      .andThen((text) => check(OwnershipAnswer, text, peer));
+    return sendRequest(peer, { target: OWNERSHIP_PATH })
+      .andThen((text) => parseResponse(OwnershipRecordsResponse, text, peer));
   }
 
-  /** Asks a peer to read a record of the store. */
+  /** Reads a record of the store through a peer. */
   readRecord(
     peer: string,
     key: string,
-  ): ResultAsync<FoundRecord, BamboolinkError> {
+  ): ResultAsync<ReadRecordResult, BamboolinkError> {
     const body = JSON.stringify({ key });
-    return ask(peer, { target: STORE_GET_PATH, body })
-      .andThen((text) => check(GetAnswer, text, peer))
+    return sendRequest(peer, { target: STORE_GET_PATH, body })
+      .andThen((text) => parseResponse(ReadRecordResponse, text, peer))
       .map(({ record, era }) => ({ record: record ?? undefined, era }));
   }
 
-  /** Asks a peer for a conditional write; no answer means that it may have taken effect. */
+  /** Performs a compare-and-swap through a peer; without a response, the write may have taken effect. */
   writeRecord(
     peer: string,
     request: CasRequest,
-  ): ResultAsync<WrittenRecord, BamboolinkError> {
+  ): ResultAsync<WriteRecordResult, BamboolinkError> {
     const { key, value, expectedRevision } = request;
     const body = JSON.stringify({ key, value, expectedRevision });
-    return ask(peer, { target: STORE_WRITE_PATH, body })
-      .andThen((text) => check(WriteAnswer, text, peer))
-      .andThen((answer) =>
-        "revision" in answer ? okAsync(answer) : errAsync(
-          BamboolinkError.create(answer.code, "the peer could not write", {
-            step: "peer.write",
-            peer,
-          }),
+    return sendRequest(peer, { target: STORE_WRITE_PATH, body })
+      .andThen((text) => parseResponse(WriteRecordResponse, text, peer))
+      .andThen((response) =>
+        "revision" in response ? okAsync(response) : errAsync(
+          BamboolinkError.create(
+            response.code,
+            "the peer could not write the record",
+            {
+              step: "peer.write",
+              peer,
+            },
+          ),
         )
       );
   }
 }
 
-function ask(
+function sendRequest(
   peer: string,
-  question: { target: string; body?: string },
+  request: { target: string; body?: string },
 ): ResultAsync<string, BamboolinkError> {
   const connection = Connection.create(peer);
   const exchange = connection.exchange({
-    method: question.body === undefined ? "GET" : "POST",
-    target: question.target,
+    method: request.body === undefined ? "GET" : "POST",
+    target: request.target,
     headers: ["host", peer],
-    body: question.body === undefined ? undefined : Buffer.from(question.body),
+    body: request.body === undefined ? undefined : Buffer.from(request.body),
   }, {
-    cancellation: Cancellation.createWithTimeout(TIMEOUT_MS),
+    cancellation: Cancellation.createWithTimeout(REQUEST_TIMEOUT_MS),
     nowMs: steadyMs,
   })
     .finally(() => void connection.destroy());
@@ -140,26 +143,30 @@
     if (result.kind !== "answer") {
       return errAsync(result.error);
     }
-    return result.status === 200
-      ? okAsync(result.body.toString())
-      : errAsync(BamboolinkError.create("refused", "the peer has no answer", {
+    return result.status === 200 ? okAsync(result.body.toString()) : errAsync(
+      BamboolinkError.create("refused", "the peer could not serve the request", {
         step: "peer.ask",
         peer,
-      }));
+      }),
+    );
   });
 }
 
-function check<S extends z.ZodType>(
+function parseResponse<S extends z.ZodType>(
   schema: S,
   text: string,
   peer: string,
 ): ResultAsync<z.infer<S>, BamboolinkError> {
-  const checked = schema.safeParse(JSON.parse(text));
-  return checked.success ? okAsync(checked.data) : errAsync(
-    BamboolinkError.create("unknown_effect", "the peer's answer is malformed", {
-      step: "peer.ask",
-      peer,
-      cause: checked.error,
-    }),
+  const parsed = schema.safeParse(JSON.parse(text));
+  return parsed.success ? okAsync(parsed.data) : errAsync(
+    BamboolinkError.create(
+      "unknown_effect",
+      "the peer's response is malformed",
+      {
+        step: "peer.ask",
+        peer,
+        cause: parsed.error,
+      },
+    ),
   );
 }
--- a/packages/router/src/peer_server.ts
+++ b/packages/router/src/peer_server.ts
@@ -1,5 +1,5 @@
 /**
- * Answers the questions of other daemons.
+ * HTTP server for requests of other daemons.
  *
  * @module
  */
@@ -23,21 +23,21 @@
   WriteRecordRequest,
 } from "./peer_client.ts";
 
-/** The largest question, in bytes: the largest record of the store, and room beside it. */
-const MAXIMUM_QUESTION_BYTES = 2_097_152;
+/** The largest record of the store, with some headroom. */
+const MAX_REQUEST_BYTES = 2_097_152;
 
-/** What the server needs. */
+/** Dependencies of the server. */
 export interface PeerServerContext {
   readonly logger: Logger;
   readonly configuration: ConfigurationKeeper;
   readonly directory: OwnershipDirectory;
-  /** The store as this daemon itself reaches it. */
+  /** The store as reached by this daemon directly, without a relay. */
   readonly store: Store;
 }
 
-/** The server for other daemons. */
+/** Serves the configuration, ownership records and store calls to other daemons. */
 export class PeerServer {
-  /** Takes the other daemons' connections. */
+  /** Accepts the connections of other daemons. */
   readonly server: Server;
 
   private constructor(private readonly context: PeerServerContext) {
@@ -56,12 +56,12 @@
     response: ServerResponse,
   ): Promise<void> {
     try {
-      const read = await readBody(incoming, { bytes: MAXIMUM_QUESTION_BYTES });
-      if (read.kind !== "body") {
+      const bodyResult = await readBody(incoming, { bytes: MAX_REQUEST_BYTES });
+      if (bodyResult.kind !== "body") {
         response.destroy();
         return;
       }
-      await this.serveQuestion(incoming, response, read.body);
+      await this.respond(incoming, response, bodyResult.body);
     } catch (cause) {
       this.context.logger.log("unexpected_error", {
         step: "peer_server",
@@ -71,19 +71,19 @@
     }
   }
 
-  private async serveQuestion(
+  private async respond(
     incoming: IncomingMessage,
     response: ServerResponse,
     body: Buffer | undefined,
   ): Promise<void> {
-    const text = await this.answerQuestion(incoming.url ?? "", body);
+    const text = await this.handleRequest(incoming.url ?? "", body);
     response.writeHead(text === undefined ? 404 : 200, {
       "content-length": Buffer.byteLength(text ?? ""),
     });
     response.end(text);
   }
 
-  private async answerQuestion(
+  private async handleRequest(
     target: string,
     body: Buffer | undefined,
   ): Promise<string | undefined> {
@@ -103,10 +103,10 @@
         );
       }
       case STORE_WRITE_PATH: {
-        const question = WriteRecordRequest.parse(readJson(body));
+        const request = WriteRecordRequest.parse(readJson(body));
         const written = await store.compareAndSwap({
-          ...question,
-          value: question.value,
+          ...request,
+          value: request.value,
         });
         return written.match(
           (revision) => JSON.stringify({ revision, era: store.era }),
--- a/packages/router/src/store_watcher.ts
+++ b/packages/router/src/store_watcher.ts
@@ -1,38 +1,38 @@
 /**
- * Follows all records below a prefix of the store: lists them, then watches, and lists anew whenever
- * changes may have been missed.
+ * Keeps track of all records below a prefix of the store: lists them, then watches for changes, and lists them again
+ * whenever changes may have been missed.
  *
  * @module
  */
 import type { Logger } from "@bamboolink/logger";
 import type { Listing, Store, Watch } from "@bamboolink/store";
 
-/** Pause after a failure, in milliseconds, growing to the longest. */
-const FIRST_PAUSE_MS = 100;
-const LONGEST_PAUSE_MS = 1_000;
+/** Delay after a first failure; it doubles with each further one. */
+const INITIAL_RETRY_DELAY_MS = 100;
+const MAX_RETRY_DELAY_MS = 1_000;
 
-/** A record was written or deleted. */
+/** A write or deletion of a record. */
 export interface RecordChange {
   readonly key: string;
   readonly value: string | undefined;
   readonly revision: number;
 }
 
-/** What the watcher needs. */
+/** Dependencies of the watcher. */
 export interface StoreWatcherContext {
   readonly store: Store;
   readonly logger: Logger;
   readonly prefix: string;
   readonly random: () => number;
-  /** How long to wait for changes, in milliseconds; `hasTimedOut` where the last wait ran to its end without one. */
+  /** Chooses the poll timeout, in milliseconds; `hasTimedOut` is whether the last poll timed out without a change. */
   readonly choosePollTimeoutMs: (hasTimedOut: boolean) => number;
-  /** Called with all records whenever they are listed. */
+  /** Called with each listing of all records. */
   readonly onListing: (listing: Listing) => void;
   /** Called with each change after a listing; `value` is `undefined` for deletions. */
   readonly onChange: (change: RecordChange) => void;
 }
 
-/** Follows one prefix. */
+/** Lists and watches the records below one prefix. */
 export class StoreWatcher {
   private watch: Watch | undefined;
   private timer: NodeJS.Timeout | undefined;
@@ -41,24 +41,24 @@
 
   private constructor(private readonly context: StoreWatcherContext) {}
 
-  /** Creates a watcher that does not follow yet. */
+  /** Creates a watcher that has not started. */
   static create(context: StoreWatcherContext): StoreWatcher {
     return new StoreWatcher(context);
   }
 
-  /** Begins to follow. */
+  /** Starts to list and watch, with retries after failures until it is stopped. */
   start(): void {
-    void this.follow();
+    void this.listAndWatch();
   }
 
-  /** Stops following. */
+  /** Stops the watch and cancels retries. */
   stop(): void {
     this.isStopped = true;
     clearTimeout(this.timer);
     this.watch?.stop();
   }
 
-  private async follow(): Promise<void> {
+  private async listAndWatch(): Promise<void> {
     const { store, logger, prefix, onListing, onChange, choosePollTimeoutMs } =
       this.context;
     const listing = await store.list(prefix);
@@ -71,7 +71,7 @@
         prefix,
         cause: listing.error,
       });
-      this.followLater();
+      this.scheduleRetry();
       return;
     }
     this.failures = 0;
@@ -83,24 +83,24 @@
         onChanges: (changes) => changes.forEach(onChange),
         onEnd: (cause) => {
           logger.log("store_watch_ended", { prefix, cause });
-          this.followLater();
+          this.scheduleRetry();
         },
       },
     });
   }
 
-  private followLater(): void {
+  private scheduleRetry(): void {
     if (this.isStopped) {
       return;
     }
-    const pauseMs = Math.min(
-      LONGEST_PAUSE_MS,
-      FIRST_PAUSE_MS * 2 ** this.failures,
+    const delayMs = Math.min(
+      MAX_RETRY_DELAY_MS,
+      INITIAL_RETRY_DELAY_MS * 2 ** this.failures,
     );
     this.failures += 1;
     this.timer = setTimeout(
-      () => void this.follow(),
-      pauseMs * (0.5 + this.context.random()),
+      () => void this.listAndWatch(),
+      delayMs * (0.5 + this.context.random()),
     );
   }
 }
