--- a/packages/router/src/peer_client.ts
+++ b/packages/router/src/peer_client.ts
@@ -144,10 +144,14 @@
       return errAsync(result.error);
     }
     return result.status === 200 ? okAsync(result.body.toString()) : errAsync(
-      BamboolinkError.create("refused", "the peer could not serve the request", {
-        step: "peer.ask",
-        peer,
-      }),
+      BamboolinkError.create(
+        "refused",
+        "the peer could not serve the request",
+        {
+          step: "peer.ask",
+          peer,
+        },
+      ),
     );
   });
 }
