--- /dev/null
+++ b/packages/membership/src/heartbeat_digest.ts
@@ -0,0 +1,76 @@
+/**
+ * Compact encoding of the latest sequence numbers of many daemons' reports.
+ *
+ * A full report takes about 90 bytes, so a datagram holds only a few, and in a fleet of 59 daemons that lost 10 % of
+ * its datagrams, 1 pair of daemons in 200 considered each other unresponsive at any moment. The digests of all daemons
+ * fit into each datagram: in simulations of 59 and 195 daemons, 99 % of the sequence numbers are at most 1 s old.
+ *
+ * @module
+ */
+
+/** The latest sequence number of one daemon's reports. */
+export interface HeartbeatDigest {
+  /** Hash of the daemon's address. */
+  readonly addressHash: number;
+  /** Lowest byte of the daemon's incarnation. */
+  readonly incarnation: number;
+  readonly sequence: number;
+}
+
+/** Address hash (4 bytes), incarnation (1) and sequence number (4). */
+const DIGEST_BYTES = 9;
+const SEQUENCE_MODULUS = 2 ** 32;
+/** Parameters of the 32-bit FNV-1a hash. */
+const FNV_OFFSET = 0x811c9dc5;
+const FNV_PRIME = 0x01000193;
+
+/** Returns the 32-bit hash by which digests identify a daemon's address. */
+export function hashAddress(address: string): number {
+  return [...address].reduce(
+    (hash, character) =>
+      Math.imul(hash ^ character.charCodeAt(0), FNV_PRIME) >>> 0,
+    FNV_OFFSET,
+  );
+}
+
+/** Creates the digest of a report. */
+export function createDigest(
+  addressHash: number,
+  report: { incarnation: number; sequence: number },
+): HeartbeatDigest {
+  return {
+    addressHash,
+    incarnation: report.incarnation % 256,
+    sequence: report.sequence % SEQUENCE_MODULUS,
+  };
+}
+
+/** Encodes digests, each in 9 bytes. */
+export function encodeDigests(digests: readonly HeartbeatDigest[]): Uint8Array {
+  const bytes = Buffer.allocUnsafe(digests.length * DIGEST_BYTES);
+  digests.forEach(({ addressHash, incarnation, sequence }, index) => {
+    const offset = index * DIGEST_BYTES;
+    bytes.writeUInt32LE(addressHash, offset);
+    bytes.writeUInt8(incarnation, offset + 4);
+    bytes.writeUInt32LE(sequence, offset + 5);
+  });
+  return bytes;
+}
+
+/** Decodes digests; returns `undefined` if the length is not a multiple of a digest's size. */
+export function decodeDigests(
+  encoded: Uint8Array,
+): HeartbeatDigest[] | undefined {
+  if (encoded.length % DIGEST_BYTES !== 0) {
+    return undefined;
+  }
+  const bytes = Buffer.from(encoded.buffer, encoded.byteOffset, encoded.length);
+  return Array.from({ length: encoded.length / DIGEST_BYTES }, (_, index) => {
+    const offset = index * DIGEST_BYTES;
+    return {
+      addressHash: bytes.readUInt32LE(offset),
+      incarnation: bytes.readUInt8(offset + 4),
+      sequence: bytes.readUInt32LE(offset + 5),
+    };
+  });
+}
--- /dev/null
+++ b/packages/membership/src/watch_poll_schedule.ts
@@ -0,0 +1,47 @@
+/**
+ * Chooses the timeouts of the long polls by which a daemon watches the store.
+ *
+ * A watch whose connection is dead looks like one without changes. Renewing the poll distinguishes the two.
+ *
+ * @module
+ */
+
+/** Bounds the number of renewals, each of which counts as a call to the store. */
+const MAX_TIMEOUT_MS = 28_000;
+/** Mean time between two renewals in the whole fleet. A daemon that sees a change notifies the others. */
+const MEAN_RENEWAL_INTERVAL_MS = 350;
+
+/** The poll timeouts of one daemon's watch. */
+export class WatchPollSchedule {
+  private fullTimeoutMs = 0;
+
+  private constructor(private readonly random: () => number) {}
+
+  /** Creates a schedule without history; `random` returns numbers in [0, 1). */
+  static create(random: () => number): WatchPollSchedule {
+    return new WatchPollSchedule(random);
+  }
+
+  /**
+   * Chooses the next timeout, in milliseconds.
+   *
+   * Anything but a timeout may end the polls of all daemons at the same time, so the next timeout is then drawn at
+   * random: synchronized renewals would leave the whole fleet without updates between two of them.
+   *
+   * @param daemons number of daemons that watch.
+   * @param hasTimedOut whether the last poll reached its timeout without a change.
+   */
+  nextTimeoutMs(
+    { daemons, hasTimedOut }: { daemons: number; hasTimedOut: boolean },
+  ): number {
+    const fullTimeoutMs = Math.min(
+      MAX_TIMEOUT_MS,
+      daemons * MEAN_RENEWAL_INTERVAL_MS,
+    );
+    const isStaggered = hasTimedOut && fullTimeoutMs === this.fullTimeoutMs;
+    this.fullTimeoutMs = fullTimeoutMs;
+    return Math.ceil(
+      isStaggered ? fullTimeoutMs : fullTimeoutMs * (1 - this.random()),
+    );
+  }
+}
--- a/packages/router/src/configuration_manager.ts
+++ b/packages/router/src/configuration_manager.ts
@@ -9,7 +9,7 @@
 import { PrefixRouter } from "@bamboolink/traffic";
 import type { TrafficConfiguration, TrafficService } from "@bamboolink/types";
 import { steadyMs } from "./clock.ts";
-import type { PeerQuestions } from "./peer_questions.ts";
+import type { PeerClient } from "./peer_client.ts";
 import type { ConfigurationDocument } from "./ports/configuration_document.ts";
 
 /** The configuration in force, with lookups derived from it. */
@@ -25,7 +25,7 @@
 export interface ConfigurationManagerContext {
   readonly document: ConfigurationDocument;
   readonly logger: Logger;
-  readonly peerClient: PeerQuestions;
+  readonly peerClient: PeerClient;
   readonly onChange: (inForce: ConfigurationInForce) => void;
 }
 
@@ -76,7 +76,7 @@
       return;
     }
     this.isFetching = true;
-    void this.context.peerClient.askConfiguration(report.forwardAddress)
+    void this.context.peerClient.fetchConfiguration(report.forwardAddress)
       .match(
         (text) => this.applyDocument(text, report.address),
         (cause) =>
--- a/packages/router/src/gossip_node.ts
+++ b/packages/router/src/gossip_node.ts
@@ -13,7 +13,7 @@
   encodeGossip,
   type MemberReport,
   type MemberView,
-  pickSome,
+  sampleWithoutReplacement,
 } from "@bamboolink/membership";
 import { steadyMs } from "./clock.ts";
 import {
@@ -80,7 +80,7 @@
   /** Sends gossip to a few daemons. */
   runRound(): void {
     const { view, random } = this.context;
-    view.beat(this.context.describeSelf());
+    view.updateOwnReport(this.context.describeSelf());
     const targets = chooseGossipTargets(view, { nowMs: steadyMs(), random });
     this.sendGossip(targets);
   }
@@ -88,7 +88,7 @@
   /** Sends gossip to all alive daemons at once, for changes that others must know soon. */
   announce(): void {
     const { view } = this.context;
-    view.beat(this.context.describeSelf());
+    view.updateOwnReport(this.context.describeSelf());
     this.sendGossip(view.alive(steadyMs()).map(({ address }) => address));
   }
 
@@ -108,7 +108,7 @@
   sendToSome(datagram: Datagram): void {
     const { view, random } = this.context;
     const alive = view.alive(steadyMs());
-    pickSome(alive, { count: SUBSET_SIZE, random })
+    sampleWithoutReplacement(alive, { count: SUBSET_SIZE, random })
       .forEach(({ address }) => this.sendDatagram(datagram, address));
   }
 
@@ -120,8 +120,8 @@
     const { view, random } = this.context;
     const sender = view.ownReport.address;
     const reports = view.chooseReports({ nowMs: steadyMs(), random });
-    const beats = view.chooseBeats({ nowMs: steadyMs(), random });
-    const bytes = encodeGossip({ sender, reports, beats });
+    const digests = view.chooseDigests({ nowMs: steadyMs(), random });
+    const bytes = encodeGossip({ sender, reports, digests });
     addresses.forEach((address) => this.send(bytes, address));
   }
 
@@ -151,14 +151,17 @@
       );
       return;
     }
-    decodeGossip(bytes, (name) => view.isNews(name)).match(
-      ({ sender, reports, beats, leftOut }) => {
-        if (leftOut > 0) {
-          logger.log("gossip_malformed", { peer: sender, left_out: leftOut });
+    decodeGossip(bytes, (name) => view.isUpdate(name)).match(
+      ({ sender, reports, digests, skippedReports }) => {
+        if (skippedReports > 0) {
+          logger.log("gossip_malformed", {
+            peer: sender,
+            left_out: skippedReports,
+          });
         }
         const nowMs = steadyMs();
         const newReports = view.merge(reports, nowMs);
-        this.requestReports(sender, view.mergeBeats(beats, nowMs));
+        this.requestReports(sender, view.mergeDigests(digests, nowMs));
         if (newReports.length > 0) {
           onReports(newReports);
         }
@@ -188,7 +191,7 @@
     const { view } = this.context;
     const reports = view.findReports(names);
     const sender = view.ownReport.address;
-    this.send(encodeGossip({ sender, reports, beats: [] }), peer);
+    this.send(encodeGossip({ sender, reports, digests: [] }), peer);
   }
 }
 
--- a/packages/router/src/gossip_node_test.ts
+++ b/packages/router/src/gossip_node_test.ts
@@ -22,7 +22,7 @@
 const REPORT: MemberReport = {
   address: ADDRESS,
   incarnation: 1,
-  beat: 7,
+  sequence: 7,
   availabilityZone: "a",
   forwardAddress: "127.0.0.1:21778",
   service: "rooms",
@@ -72,15 +72,15 @@
     // reports, has an invalid port, and the socket throws when the node responds or sends gossip there.
     it("sends nothing to them, logs this, and continues", async () => {
       const { node, view, events } = await startNode();
-      const beats = [{ name: 77, incarnation: 1, beat: 7 }];
+      const digests = [{ addressHash: 77, incarnation: 1, sequence: 7 }];
       for (const address of ["nonsense", "127.0.0.1:99999", ":1", "a:-3"]) {
         const reports = [{ ...REPORT, address }];
-        await sendBytes(encodeGossip({ sender: address, reports, beats }));
+        await sendBytes(encodeGossip({ sender: address, reports, digests }));
         node.announce();
         await sleep(ARRIVAL_MS * 4);
       }
       node.close();
-      expect(view.known).to.have.length(4);
+      expect(view.knownAddresses).to.have.length(4);
       expect(events).to.include("gossip_failed");
     });
   });
@@ -96,7 +96,7 @@
       const sender = other.address;
       await sendBytes(encode([2, sender, rows, new Uint8Array(0)]));
       node.close();
-      expect(view.known).to.deep.equal([other.address]);
+      expect(view.knownAddresses).to.deep.equal([other.address]);
       expect(events).to.deep.equal(["gossip_malformed"]);
     });
   });
--- a/packages/router/src/ownership_leader.ts
+++ b/packages/router/src/ownership_leader.ts
@@ -246,7 +246,7 @@
       .filter((report) => report.service === service);
     const candidates = this.allCandidates(service);
     const isDue = isFirstAssignmentDue({
-      unseenDaemons: view.known.length - alive.length,
+      unseenDaemons: view.knownAddresses.length - alive.length,
       unannouncedBackends: members.filter(({ phase }) =>
         phase === "absent"
       ).length,
@@ -273,8 +273,8 @@
     const observedMs = nowMs - this.startedAtMs;
     const lost = known.daemons.filter((daemon) =>
       !known.isSealed(daemon) &&
-      Math.min(view.silentMs(daemon, nowMs), observedMs) >
-        view.silentAfterMs + SEAL_DELAY_MS
+      Math.min(view.heartbeatAgeMs(daemon, nowMs), observedMs) >
+        view.unresponsiveTimeoutMs + SEAL_DELAY_MS
     );
     if (lost.length === 0) {
       return false;
--- a/packages/router/src/ownership_manager.ts
+++ b/packages/router/src/ownership_manager.ts
@@ -244,7 +244,7 @@
    */
   private handleSeal(service: string): void {
     const { view, grants } = this.context;
-    const known = view.known.length;
+    const known = view.knownAddresses.length;
     const alive = view.alive(steadyMs()).length;
     if (known > 0 && alive * 2 < known) {
       grants.beginRelease(grants.ownRanges);
--- a/packages/router/src/relayed_store.ts
+++ b/packages/router/src/relayed_store.ts
@@ -15,7 +15,7 @@
 } from "@bamboolink/store";
 import { errAsync, type ResultAsync } from "neverthrow";
 import { bootMs } from "./clock.ts";
-import type { PeerQuestions } from "./peer_questions.ts";
+import type { PeerClient } from "./peer_client.ts";
 
 /** After a failure, the store is considered unreachable until a call succeeds, for at most this long, in ms. */
 const UNREACHABLE_TTL_MS = 3_000;
@@ -23,7 +23,7 @@
 /** Dependencies of the relayed store. */
 export interface RelayedStoreContext {
   readonly direct: Store;
-  readonly peerClient: PeerQuestions;
+  readonly peerClient: PeerClient;
   readonly logger: Logger;
   /** Address of a daemon from which the store is reachable, if one is known. */
   readonly findRelay: () => string | undefined;
@@ -101,7 +101,7 @@
     relay: string,
     key: string,
   ): ResultAsync<StoredRecord | undefined, BamboolinkError> {
-    return this.context.peerClient.askRecord(relay, key)
+    return this.context.peerClient.readRecord(relay, key)
       .map(({ record, era }) => {
         this.relayedEra = Math.max(this.relayedEra, era);
         return record;
@@ -112,7 +112,7 @@
     relay: string,
     request: CasRequest,
   ): ResultAsync<number, BamboolinkError> {
-    return this.context.peerClient.askWrite(relay, request)
+    return this.context.peerClient.writeRecord(relay, request)
       .map(({ revision, era }) => {
         this.relayedEra = Math.max(this.relayedEra, era);
         return revision;
--- a/packages/router/src/request_runner.ts
+++ b/packages/router/src/request_runner.ts
@@ -234,7 +234,7 @@
       address === view.ownReport.address
         ? backend.failureShare
         : loadTracker.failureShareOf(address);
-    const others = view.readyOf(request.service, steadyMs())
+    const others = view.readyReports(request.service, steadyMs())
       .map(({ address }) => address)
       .filter((address) => address !== target.address);
     return isServerFault(
@@ -255,7 +255,7 @@
       request.deadlineAtMs - nowMs > typicalMs * MIN_RETRY_TIME_SHARE &&
       budget.allows(request.service, {
         nowMs,
-        daemons: view.known.length + 1,
+        daemons: view.knownAddresses.length + 1,
       });
   }
 
@@ -277,7 +277,7 @@
     const { view, loadTracker, random } = this.context;
     const nowMs = steadyMs();
     const own = view.ownReport;
-    const untried = view.readyOf(request.service, nowMs)
+    const untried = view.readyReports(request.service, nowMs)
       .filter(({ address }) => !tried.has(address));
     const reachable = untried.filter(({ address }) =>
       !loadTracker.isAvoided(address, nowMs)
@@ -372,7 +372,8 @@
   private isUnavailable(owner: MemberReport): boolean {
     const { view } = this.context;
     return owner.phase === "stopping" ||
-      view.silentMs(owner.address, steadyMs()) > view.silentAfterMs;
+      view.heartbeatAgeMs(owner.address, steadyMs()) >
+        view.unresponsiveTimeoutMs;
   }
 
   private logAttempt(
