--- a/packages/load/src/key_chooser.ts
+++ b/packages/load/src/key_chooser.ts
@@ -1,40 +1,41 @@
 /**
- * Which keys requests ask for: a few hot ones, which move, before many cold ones.
+ * Selection of request keys with a skewed distribution: a small hot set, which changes over time, and many
+ * cold keys.
  *
  * @module
  */
 
-/** How keys are chosen. */
-export interface KeyShape {
-  /** How many keys there are. */
+/** Distribution of requests over keys. */
+export interface KeyDistribution {
+  /** Total number of keys. */
   readonly keys: number;
-  /** How many of them are hot at a time. */
+  /** Number of keys that are hot at the same time. */
   readonly hotKeys: number;
-  /** The share of the requests that go to hot keys, from 0 to 1. */
+  /** Share of requests for hot keys, from 0 to 1. */
   readonly hotShare: number;
-  /** How often the hot keys change, in milliseconds. */
+  /** Interval in milliseconds after which a different set of keys becomes hot. */
   readonly moveEveryMs: number;
 }
 
-/** Chooses keys. */
+/** Chooses a key for each request. */
 export class KeyChooser {
   private constructor(
-    private readonly shape: KeyShape,
+    private readonly shape: KeyDistribution,
     private readonly random: () => number,
   ) {}
 
-  /** Creates a chooser; `random` gives numbers from 0 up to 1. */
-  static create(shape: KeyShape, random: () => number): KeyChooser {
+  /** Creates a chooser; `random` returns uniformly distributed numbers from 0 (inclusive) to 1 (exclusive). */
+  static create(shape: KeyDistribution, random: () => number): KeyChooser {
     return new KeyChooser(shape, random);
   }
 
-  /** The key of a request that arrives `atMs` after the start. */
-  choose(atMs: number): string {
+  /** Returns the key of a request that arrives `arrivalMs` milliseconds after the start. */
+  choose(arrivalMs: number): string {
     const { keys, hotKeys, hotShare, moveEveryMs } = this.shape;
     if (this.random() >= hotShare) {
       return `key-${Math.floor(this.random() * keys)}`;
     }
-    const generation = Math.floor(atMs / moveEveryMs);
+    const generation = Math.floor(arrivalMs / moveEveryMs);
     const index = generation * hotKeys + Math.floor(this.random() * hotKeys);
     return `key-${index % keys}`;
   }
--- a/packages/load/src/load_report.ts
+++ b/packages/load/src/load_report.ts
@@ -1,11 +1,11 @@
 /**
- * What a run showed.
+ * Collection and output of the results of a run.
  *
  * @module
  */
 import { build, type Histogram } from "hdr-histogram-js";
 
-/** Ends of requests, as the caller saw them. */
+/** Outcome of a request as seen by the caller. */
 export type CallerOutcome =
   | "done"
   | "not_run"
@@ -15,11 +15,11 @@
   | "unreachable"
   | "refused";
 
-/** Times and ends of one operation. */
+/** Latencies and outcomes of one operation. */
 export interface OperationReport {
   readonly operation: string;
   readonly outcomes: Readonly<Partial<Record<CallerOutcome, number>>>;
-  /** Milliseconds from the planned arrival to the whole answer, of requests that were done. */
+  /** Latency in milliseconds from the scheduled arrival to the complete response, of `done` requests only. */
   readonly p50: number;
   readonly p99: number;
   readonly p999: number;
@@ -29,20 +29,21 @@
 /** The result of one run. */
 export interface LoadReport {
   readonly sent: number;
+  /** Elapsed time of the run in seconds. */
   readonly seconds: number;
   readonly operations: readonly OperationReport[];
   readonly totals: Readonly<Partial<Record<CallerOutcome, number>>>;
-  /** Requests by host of the server that answered. */
+  /** Number of responses by host of the backend server. */
   readonly servers: Readonly<Record<string, number>>;
-  /** Compared with the servers' ledgers: non-idempotent requests that ran twice. */
+  /** Non-idempotent requests that the backend servers' ledgers list more than once. */
   readonly doubled: number;
-  /** Requests that were answered as done and stand in no ledger. */
+  /** Requests with the outcome `done` that no ledger lists. */
   readonly lost: number;
-  /** Requests that were answered as not run and stand in a ledger. */
+  /** Requests with the outcome `not_run` that a ledger lists. */
   readonly falselyNotRun: number;
 }
 
-/** Collects what a run shows. */
+/** Collects the results of a run. */
 export class LoadRecorder {
   private readonly operations = new Map<
     string,
@@ -57,10 +58,14 @@
     return new LoadRecorder();
   }
 
-  /** Notes one request. */
-  note(
+  /** Records the result of one request; only `done` requests count towards the latencies. */
+  record(
     operation: string,
-    end: { outcome: CallerOutcome; tookMs: number; server: string | undefined },
+    result: {
+      outcome: CallerOutcome;
+      latencyMs: number;
+      server: string | undefined;
+    },
   ): void {
     const entry = this.operations.get(operation) ?? {
       histogram: build({
@@ -71,17 +76,25 @@
       outcomes: new Map<CallerOutcome, number>(),
     };
     this.operations.set(operation, entry);
-    entry.outcomes.set(end.outcome, (entry.outcomes.get(end.outcome) ?? 0) + 1);
-    if (end.outcome === "done") {
-      entry.histogram.recordValue(Math.max(1, Math.round(end.tookMs * 1_000)));
+    entry.outcomes.set(
+      result.outcome,
+      (entry.outcomes.get(result.outcome) ?? 0) + 1,
+    );
+    if (result.outcome === "done") {
+      entry.histogram.recordValue(
+        Math.max(1, Math.round(result.latencyMs * 1_000)),
+      );
     }
-    if (end.server !== undefined) {
-      this.servers.set(end.server, (this.servers.get(end.server) ?? 0) + 1);
+    if (result.server !== undefined) {
+      this.servers.set(
+        result.server,
+        (this.servers.get(result.server) ?? 0) + 1,
+      );
     }
   }
 
-  /** The report, before the comparison with the ledgers. */
-  finish(
+  /** Returns the report without the results of the comparison with the ledgers. */
+  summarize(
     seconds: number,
   ): Omit<LoadReport, "doubled" | "lost" | "falselyNotRun"> {
     const operations = [...this.operations].map((
@@ -116,7 +129,7 @@
   }
 }
 
-/** Writes a report for people. */
+/** Formats a report as lines of text. */
 export function formatReport(report: LoadReport): string[] {
   const rows = report.operations.map((
     { operation, outcomes, p50, p99, p999, max },
@@ -140,8 +153,8 @@
         .join(" ")
     }`,
     ...rows,
-    `answers by server: ${servers}`,
-    `doubled ${report.doubled}, lost ${report.lost}, falsely called not run ${report.falselyNotRun}, cut ${
+    `responses by server: ${servers}`,
+    `doubled ${report.doubled}, lost ${report.lost}, falsely reported as not run ${report.falselyNotRun}, cut ${
       report.totals.cut ?? 0
     }, crossed ${report.totals.crossed ?? 0}`,
   ];
--- a/packages/load/src/load_run.ts
+++ b/packages/load/src/load_run.ts
@@ -1,5 +1,5 @@
 /**
- * One run of load against a fleet.
+ * Runs load against a fleet and checks every response.
  *
  * @module
  */
@@ -12,28 +12,28 @@
 import { Agent, type Dispatcher, request } from "undici";
 import { v4, v7 } from "uuid";
 import { ArrivalSchedule, type ArrivalShape } from "./arrival_schedule.ts";
-import { KeyChooser, type KeyShape } from "./key_chooser.ts";
+import { KeyChooser, type KeyDistribution } from "./key_chooser.ts";
 import {
   type CallerOutcome,
   LoadRecorder,
   type LoadReport,
 } from "./load_report.ts";
 
-/** What a run does. */
+/** Parameters of a run. */
 export interface LoadPlan {
   readonly arrivals: ArrivalShape;
-  readonly keys: KeyShape;
-  /** The configuration in force; its operations are called, in equal parts. */
+  readonly keys: KeyDistribution;
+  /** The configuration in force; each request calls one of its operations, chosen uniformly. */
   readonly document: ConfigurationDocument;
-  /** Daemons to call, `address:port`. */
+  /** Daemons that requests are sent to, as `address:port`. */
   readonly targets: readonly string[];
-  /** Backend server stand-ins whose ledgers are compared, `address:port`. */
+  /** Backend server stand-ins whose ledgers are compared with the responses, as `address:port`. */
   readonly ledgers: readonly string[];
-  /** Whether callers go to the owner that an earlier answer named. */
+  /** Whether requests are sent to the owner that an earlier response for the key named. */
   readonly followHints: boolean;
-  /** Connections to each daemon. */
+  /** Maximum number of connections to each daemon. */
   readonly connections: number;
-  /** Gives numbers from 0 up to 1. */
+  /** Returns uniformly distributed numbers from 0 (inclusive) to 1 (exclusive). */
   readonly random: () => number;
 }
 
@@ -42,22 +42,22 @@
   readonly method: string;
 }
 
-/** At most so many requests wait at a time; arrivals beyond are counted as unreachable. */
-const MAXIMUM_OPEN = 20_000;
-const MAXIMUM_HINTS = 100_000;
+/** Maximum number of requests in flight; further arrivals are not sent and count as unreachable. */
+const MAX_IN_FLIGHT = 20_000;
+const MAX_OWNER_HINTS = 100_000;
 
-/** A run of load. */
+/** One run of load. */
 export class LoadRun {
   private readonly recorder = LoadRecorder.create();
   private readonly agent: Agent;
   private readonly operations: readonly Operation[];
-  private readonly hints = new Map<string, string>();
-  /** What callers were told, by identity of the request. */
-  private readonly told = new Map<
+  private readonly ownerHints = new Map<string, string>();
+  /** Outcomes as reported to callers, by request id. */
+  private readonly reportedOutcomes = new Map<
     string,
     { outcome: CallerOutcome; idempotent: boolean }
   >();
-  private open = 0;
+  private inFlight = 0;
 
   private constructor(private readonly plan: LoadPlan) {
     this.agent = new Agent({
@@ -71,49 +71,59 @@
     );
   }
 
-  /** Creates a run that has not begun. */
+  /** Creates a run without starting it. */
   static create(plan: LoadPlan): LoadRun {
     return new LoadRun(plan);
   }
 
-  /** Runs to the end, compares the ledgers and reports. */
+  /**
+   * Sends all requests, waits for their responses, compares them with the ledgers and returns the report. Throws
+   * where a ledger can't be read.
+   */
   async run(): Promise<LoadReport> {
     const startMs = performance.now();
     const chooser = KeyChooser.create(this.plan.keys, this.plan.random);
     const pending = new Set<Promise<void>>();
     for (
-      const atMs of ArrivalSchedule.create(this.plan.arrivals, this.plan.random)
-        .times()
+      const arrivalMs of ArrivalSchedule.create(
+        this.plan.arrivals,
+        this.plan.random,
+      )
+        .arrivalTimesMs()
     ) {
-      const waitMs = startMs + atMs - performance.now();
+      const waitMs = startMs + arrivalMs - performance.now();
       if (waitMs > 1) {
         await sleep(waitMs);
       }
-      const call = this.call(chooser.choose(atMs), startMs + atMs).finally(() =>
-        pending.delete(call)
-      );
+      const call = this.callOperation(
+        chooser.choose(arrivalMs),
+        startMs + arrivalMs,
+      ).finally(() => pending.delete(call));
       pending.add(call);
     }
     await Promise.all(pending);
     const seconds = (performance.now() - startMs) / 1_000;
-    const checks = await this.compareLedgers();
+    const ledgerChecks = await this.compareLedgers();
     await this.agent.destroy();
-    return { ...this.recorder.finish(seconds), ...checks };
+    return { ...this.recorder.summarize(seconds), ...ledgerChecks };
   }
 
-  private async call(key: string, plannedMs: number): Promise<void> {
+  private async callOperation(
+    key: string,
+    scheduledAtMs: number,
+  ): Promise<void> {
     const operation = this.pick(this.operations);
     const requestId = v4();
-    const end = this.open >= MAXIMUM_OPEN
+    const result = this.inFlight >= MAX_IN_FLIGHT
       ? { outcome: "unreachable" as const, server: undefined }
       : await this.send(operation, { key, requestId });
-    this.told.set(requestId, {
-      outcome: end.outcome,
+    this.reportedOutcomes.set(requestId, {
+      outcome: result.outcome,
       idempotent: operation.idempotent,
     });
-    this.recorder.note(operation.name, {
-      ...end,
-      tookMs: performance.now() - plannedMs,
+    this.recorder.record(operation.name, {
+      ...result,
+      latencyMs: performance.now() - scheduledAtMs,
     });
   }
 
@@ -121,18 +131,20 @@
     operation: Operation,
     call: { key: string; requestId: string },
   ): Promise<{ outcome: CallerOutcome; server: string | undefined }> {
-    const hintName = `${operation.path}\n${call.key}`;
-    const hint = this.plan.followHints ? this.hints.get(hintName) : undefined;
+    const hintKey = `${operation.path}\n${call.key}`;
+    const hint = this.plan.followHints
+      ? this.ownerHints.get(hintKey)
+      : undefined;
     const target = hint ?? this.pick(this.plan.targets);
-    this.open += 1;
+    this.inFlight += 1;
     try {
       const response = await this.agent.request({
         origin: `http://${target}`,
         ...buildRequest(operation, call),
       });
       const text = await response.body.text();
-      this.noteHint(hintName, response.headers[HEADERS.owner]);
-      return readEnd(response, { text, requestId: call.requestId });
+      this.recordOwnerHint(hintKey, response.headers[HEADERS.owner]);
+      return classifyResponse(response, { text, requestId: call.requestId });
     } catch (cause) {
       const code = (cause as NodeJS.ErrnoException).code;
       return {
@@ -140,16 +152,19 @@
         server: undefined,
       };
     } finally {
-      this.open -= 1;
+      this.inFlight -= 1;
     }
   }
 
-  private noteHint(name: string, owner: string | string[] | undefined): void {
+  private recordOwnerHint(
+    hintKey: string,
+    owner: string | string[] | undefined,
+  ): void {
     if (
       this.plan.followHints && typeof owner === "string" &&
-      this.hints.size < MAXIMUM_HINTS
+      this.ownerHints.size < MAX_OWNER_HINTS
     ) {
-      this.hints.set(name, owner);
+      this.ownerHints.set(hintKey, owner);
     }
   }
 
@@ -157,27 +172,33 @@
     { doubled: number; lost: number; falselyNotRun: number }
   > {
     const ledgers = await Promise.all(this.plan.ledgers.map(readLedger));
-    const runs = ledgers.flat().reduce(
+    const executions = ledgers.flat().reduce(
       (counts, entry) =>
         counts.set(entry.requestId, (counts.get(entry.requestId) ?? 0) + 1),
       new Map<string, number>(),
     );
-    const told = [...this.told];
+    const reported = [...this.reportedOutcomes];
     const count = (
       predicate: (
         entry: { outcome: CallerOutcome; idempotent: boolean },
-        runs: number,
+        executionCount: number,
       ) => boolean,
     ) =>
-      told.filter(([id, entry]) => predicate(entry, runs.get(id) ?? 0)).length;
-    const compared = this.plan.ledgers.length > 0;
+      reported.filter(([id, entry]) =>
+        predicate(entry, executions.get(id) ?? 0)
+      ).length;
+    const hasLedgers = this.plan.ledgers.length > 0;
     return {
-      doubled: count((entry, times) => !entry.idempotent && times > 1),
-      lost: compared
-        ? count((entry, times) => entry.outcome === "done" && times === 0)
+      doubled: count((entry, executionCount) =>
+        !entry.idempotent && executionCount > 1
+      ),
+      lost: hasLedgers
+        ? count((entry, executionCount) =>
+          entry.outcome === "done" && executionCount === 0
+        )
         : 0,
-      falselyNotRun: count((entry, times) =>
-        entry.outcome === "not_run" && times > 0
+      falselyNotRun: count((entry, executionCount) =>
+        entry.outcome === "not_run" && executionCount > 0
       ),
     };
   }
@@ -215,8 +236,11 @@
   };
 }
 
-/** Checks that the answer is whole and belongs to this very request. */
-function readEnd(
+/**
+ * Classifies a response: `cut` where its body is incomplete, `crossed` where it belongs to another request,
+ * `refused` for any other status of 400 or above.
+ */
+function classifyResponse(
   response: Dispatcher.ResponseData,
   call: { text: string; requestId: string },
 ): { outcome: CallerOutcome; server: string | undefined } {
@@ -232,9 +256,12 @@
       request_id?: string;
       served_by?: string;
     };
-    const own = body.request_id === call.requestId &&
+    const matchesRequest = body.request_id === call.requestId &&
       response.headers[HEADERS.requestId] === call.requestId;
-    return { outcome: own ? "done" : "crossed", server: body.served_by };
+    return {
+      outcome: matchesRequest ? "done" : "crossed",
+      server: body.served_by,
+    };
   } catch {
     return { outcome: "cut", server: undefined };
   }
--- a/packages/load/src/main.ts
+++ b/packages/load/src/main.ts
@@ -1,6 +1,8 @@
 #!/usr/bin/env node
 /**
- * `bamboolink-load`: the load tool as a process.
+ * Command `bamboolink-load`: runs load with the given settings. Exits with 1 where a non-idempotent request ran
+ * more than once, a request was lost or falsely reported as not run, or a response belonged to another request; with
+ * 2 for invalid settings or an invalid configuration document.
  *
  * @module
  */
@@ -20,48 +22,52 @@
 
 const Settings = z.strictObject({
   targets: addresses.describe(
-    "Daemons to call, address:port with commas; loopback only.",
+    "Daemons that requests are sent to, as address:port separated by commas; loopback only.",
   ),
   configuration: z.string().min(1).describe(
-    "File with the configuration document whose operations are called.",
+    "Path of the configuration document whose operations are called.",
   ),
   ledgers: addresses.default([]).describe(
-    "Backend server stand-ins whose ledgers are compared.",
+    "Backend server stand-ins whose ledgers are compared, as address:port separated by commas.",
   ),
   rate: number.min(0.1).max(100_000).default(100).describe(
-    "Mean requests a second.",
+    "Mean number of requests per second.",
+  ),
+  seconds: number.min(0.1).max(600).default(5).describe(
+    "Length of the run in seconds.",
   ),
-  seconds: number.min(0.1).max(600).default(5).describe("Length of the run."),
   wave: number.min(1).max(20).default(1).describe(
-    "Rate in the middle third, as many times the rate outside it.",
+    "Rate in the middle third of the run as a multiple of the rate outside it.",
   ),
   keys: number.int().min(1).default(10_000).describe(
-    "How many keys there are.",
+    "Total number of keys.",
   ),
   hot_keys: number.int().min(1).default(10).describe(
-    "How many of them are hot at a time.",
+    "Number of keys that are hot at the same time.",
   ),
   hot_share: number.min(0).max(1).default(0.2).describe(
-    "Share of the requests that go to hot keys.",
+    "Share of requests for hot keys, from 0 to 1.",
   ),
   move_every_ms: number.min(1).default(60_000).describe(
-    "How often the hot keys change.",
+    "Interval in milliseconds after which a different set of keys becomes hot.",
   ),
   follow_hints: z.enum(["true", "false"]).default("false").describe(
-    "Whether callers go to the owner named by an earlier answer.",
+    "Whether requests are sent to the owner that an earlier response for the key named.",
   ),
   connections: number.int().min(1).max(1_000).default(64).describe(
-    "Connections to each daemon.",
+    "Maximum number of connections to each daemon.",
+  ),
+  seed: number.int().default(1).describe(
+    "Seed of the random number generator.",
   ),
-  seed: number.int().default(1).describe("Seed of the random choices."),
   output: z.enum(["human", "json"]).default("human").describe(
-    "How the report is printed.",
+    "Output format of the report.",
   ),
 });
 
 const settings = readSettingsOrExit(Settings, {
   name: "bamboolink-load",
-  purpose: "open-loop load that checks every answer",
+  purpose: "open-loop load that checks every response",
 });
 const document = parseDocument(await readFile(settings.configuration, "utf8"));
 if (document.isErr()) {
@@ -70,13 +76,13 @@
   );
   process.exit(EXIT_INVALID);
 }
-const foreign = settings.targets.filter((target) =>
+const invalidTargets = settings.targets.filter((target) =>
   !/^(127\.\d+\.\d+\.\d+|localhost|\[::1\]):\d+$/.test(target)
 );
-if (settings.targets.length === 0 || foreign.length > 0) {
+if (settings.targets.length === 0 || invalidTargets.length > 0) {
   process.stderr.write(
-    `setting --targets: expected addresses on loopback; it is ${
-      JSON.stringify(foreign)
+    `setting --targets: expected at least one loopback address and no others; invalid: ${
+      JSON.stringify(invalidTargets)
     }\n`,
   );
   process.exit(2);
@@ -86,7 +92,7 @@
   arrivals: {
     rate: settings.rate,
     seconds: settings.seconds,
-    wave: settings.wave,
+    peakFactor: settings.wave,
   },
   keys: {
     keys: settings.keys,
@@ -106,6 +112,6 @@
     ? JSON.stringify(report)
     : formatReport(report).join("\n")) + "\n",
 );
-const broken = report.doubled + report.lost + report.falselyNotRun +
+const violations = report.doubled + report.lost + report.falselyNotRun +
   (report.totals.crossed ?? 0);
-process.exit(broken === 0 ? 0 : 1);
+process.exit(violations === 0 ? 0 : 1);
--- a/packages/load/src/mod.ts
+++ b/packages/load/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * An open-loop load tool that checks every answer.
+ * An open-loop load generator that checks every response.
  *
  * @module
  */
