--- a/packages/burn/src/burn_report.ts
+++ b/packages/burn/src/burn_report.ts
@@ -1,68 +1,73 @@
 /**
- * Works out burn from samples of counters. Pure.
+ * Computes the burn rates of service-level objectives from samples of request counters, without side effects.
  *
  * @module
  */
 import type { Service } from "@bamboolink/types";
 
-/** One counter of one daemon. */
+/** The value of one counter of one daemon. */
 export interface CounterSample {
   readonly name: string;
   readonly labels: Readonly<Record<string, string>>;
   readonly value: number;
 }
 
-/** The counters of all daemons at one time. */
+/** The counters of all daemons at one point in time. */
 export interface BurnSample {
-  /** Milliseconds on any clock that does not go back. */
-  readonly atMs: number;
-  /** Counters by host; hosts that did not answer are absent. */
+  /** Time of the sample in milliseconds on any monotonic clock. */
+  readonly recordedAtMs: number;
+  /** Counters by host, without hosts that did not respond. */
   readonly hosts: Readonly<Record<string, readonly CounterSample[]>>;
 }
 
-/** Burn over one window. */
+/** Burn rate over one window. */
 export interface WindowBurn {
   readonly windowMs: number;
   readonly requests: number;
-  /** Requests that were not done in time. */
+  /** Requests that did not succeed within the latency objective. */
   readonly bad: number;
-  /** Share of bad requests in relation to the share that the objective allows. */
+  /**
+   * Share of bad requests divided by the share that the objective allows. At 1 the error budget lasts exactly for
+   * its period, at 10 for a tenth of it.
+   */
   readonly burn: number;
 }
 
-/** One cause of bad requests. */
+/** Number of bad requests with one outcome, operation or host. */
 export interface BurnCause {
   readonly by: "outcome" | "operation" | "host";
   readonly name: string;
   readonly bad: number;
 }
 
-/** The report of one service. */
+/** Burn rates and error budget of one service. */
 export interface ServiceBurn {
   readonly service: string;
+  /** Share of requests that the objective requires to be good, from 0 to 1. */
   readonly goodShare: number;
+  /** Latency objective in milliseconds. */
   readonly withinMs: number;
   readonly short: WindowBurn;
   readonly long: WindowBurn;
-  /** Share of the error budget of the long window that is left; below 0 where it is overspent. */
+  /** Remaining share of the error budget of the long window; negative where it is overspent. */
   readonly budgetLeft: number;
   readonly causes: readonly BurnCause[];
-  /** Burn between each two samples, for a plot. */
+  /** Burn rate between each pair of consecutive samples, for a plot. */
   readonly course: readonly number[];
 }
 
-/** The report of all services. */
+/** Burn rates and error budgets of all services. */
 export interface BurnReport {
   readonly services: readonly ServiceBurn[];
 }
 
-const TOTAL = "bamboolink_requests_total";
-const GOOD = "bamboolink_requests_good_total";
-/** Requests that were wrong or whose caller left say nothing about the service. */
-const NOT_COUNTED = new Set(["invalid", "cancelled"]);
+const TOTAL_COUNTER = "bamboolink_requests_total";
+const GOOD_COUNTER = "bamboolink_requests_good_total";
+/** Invalid requests and requests cancelled by the caller do not reflect the quality of the service. */
+const EXCLUDED_OUTCOMES = new Set(["invalid", "cancelled"]);
 
-/** Requests between two samples. */
-interface Spent {
+/** Requests of one host, operation and outcome between two samples. */
+interface RequestDelta {
   readonly host: string;
   readonly operation: string;
   readonly outcome: string;
@@ -70,97 +75,109 @@
   readonly requests: number;
 }
 
-/** Computes the report of all services from samples in the order of their times. */
+/**
+ * Computes the report of all services.
+ *
+ * @param samples Samples in chronological order.
+ * @param options The services, and the lengths of the short and the long window in milliseconds, which both end at
+ *   the last sample.
+ */
 export function computeBurn(
   samples: readonly BurnSample[],
   options: { services: readonly Service[]; shortMs: number; longMs: number },
 ): BurnReport {
   return {
     services: options.services.map((service) =>
-      computeService(samples, { ...options, service })
+      computeServiceBurn(samples, { ...options, service })
     ),
   };
 }
 
-function computeService(
+function computeServiceBurn(
   samples: readonly BurnSample[],
   options: { service: Service; shortMs: number; longMs: number },
 ): ServiceBurn {
   const { service, shortMs, longMs } = options;
   const { good_share: goodShare, within_ms: withinMs } = service.objective;
-  const steps = samples.slice(1).map((sample, index) => ({
-    atMs: sample.atMs,
-    spent: compareSamples({
+  const intervals = samples.slice(1).map((sample, index) => ({
+    endedAtMs: sample.recordedAtMs,
+    deltas: computeDeltas({
       before: samples[index] as BurnSample,
       after: sample,
     }, service.name),
   }));
-  const endMs = samples.at(-1)?.atMs ?? 0;
-  const within = (windowMs: number) =>
-    steps.filter(({ atMs }) => atMs > endMs - windowMs).flatMap(({ spent }) =>
-      spent
-    );
-  const burnOf = (spent: readonly Spent[]) =>
-    sumBad(spent) / Math.max(1, sumRequests(spent)) / (1 - goodShare);
-  const windowBurn = (windowMs: number): WindowBurn => {
-    const spent = within(windowMs);
+  const windowEndMs = samples.at(-1)?.recordedAtMs ?? 0;
+  const deltasWithin = (windowMs: number) =>
+    intervals.filter(({ endedAtMs }) => endedAtMs > windowEndMs - windowMs)
+      .flatMap(({ deltas }) => deltas);
+  const burnRateOf = (deltas: readonly RequestDelta[]) =>
+    sumBad(deltas) / Math.max(1, sumRequests(deltas)) / (1 - goodShare);
+  const computeWindow = (windowMs: number): WindowBurn => {
+    const deltas = deltasWithin(windowMs);
     return {
       windowMs,
-      requests: sumRequests(spent),
-      bad: sumBad(spent),
-      burn: burnOf(spent),
+      requests: sumRequests(deltas),
+      bad: sumBad(deltas),
+      burn: burnRateOf(deltas),
     };
   };
-  const long = windowBurn(longMs);
+  const long = computeWindow(longMs);
   return {
     service: service.name,
     goodShare,
     withinMs,
-    short: windowBurn(shortMs),
+    short: computeWindow(shortMs),
     long,
     budgetLeft: 1 - long.burn,
-    causes: findCauses(within(longMs)),
-    course: steps.map(({ spent }) => burnOf(spent)),
+    causes: rankCauses(deltasWithin(longMs)),
+    course: intervals.map(({ deltas }) => burnRateOf(deltas)),
   };
 }
 
-/** A counter that went down belongs to a daemon that restarted; it counts from 0. */
-function compareSamples(
+/**
+ * Computes the requests of a service between two samples, by host, operation and outcome. A counter that decreased
+ * belongs to a daemon that restarted, so its increase is counted from 0. Counts requests at the entrance daemon only,
+ * because the owner counts a forwarded request as well.
+ */
+function computeDeltas(
   pair: { before: BurnSample; after: BurnSample },
   service: string,
-): Spent[] {
+): RequestDelta[] {
   return Object.entries(pair.after.hosts).flatMap(([host, counters]) => {
     const before = pair.before.hosts[host];
     if (before === undefined) {
       return [];
     }
-    const old = new Map(
-      before.map((counter) => [seriesOf(counter), counter.value]),
+    const previousValues = new Map(
+      before.map((counter) => [seriesKey(counter), counter.value]),
     );
-    const grown = counters
+    const increases = counters
       .filter(({ labels }) =>
         labels["service"] === service && labels["hop"] === "entrance"
       )
       .map((counter) => {
-        const earlier = old.get(seriesOf(counter)) ?? 0;
+        const previous = previousValues.get(seriesKey(counter)) ?? 0;
         return {
           ...counter,
-          value: counter.value - (counter.value >= earlier ? earlier : 0),
+          value: counter.value - (counter.value >= previous ? previous : 0),
         };
       });
-    return describeHost(host, grown);
+    return toRequestDeltas(host, increases);
   });
 }
 
-function describeHost(host: string, grown: readonly CounterSample[]): Spent[] {
+function toRequestDeltas(
+  host: string,
+  increases: readonly CounterSample[],
+): RequestDelta[] {
   const good = new Map(
-    grown.filter(({ name }) => name === GOOD).map((
+    increases.filter(({ name }) => name === GOOD_COUNTER).map((
       { labels, value },
     ) => [labels["operation"], value]),
   );
-  return grown
+  return increases
     .filter(({ name, labels }) =>
-      name === TOTAL && !NOT_COUNTED.has(labels["outcome"] ?? "")
+      name === TOTAL_COUNTER && !EXCLUDED_OUTCOMES.has(labels["outcome"] ?? "")
     )
     .map(({ labels, value }) => {
       const operation = labels["operation"] ?? "";
@@ -178,28 +195,28 @@
     });
 }
 
-function findCauses(spent: readonly Spent[]): BurnCause[] {
+function rankCauses(deltas: readonly RequestDelta[]): BurnCause[] {
   return (["outcome", "operation", "host"] as const).flatMap((by) => {
-    const names = [...new Set(spent.map((entry) => entry[by]))];
+    const names = [...new Set(deltas.map((delta) => delta[by]))];
     return names
       .map((name) => ({
         by,
         name,
-        bad: sumBad(spent.filter((entry) => entry[by] === name)),
+        bad: sumBad(deltas.filter((delta) => delta[by] === name)),
       }))
       .filter(({ bad }) => bad > 0)
       .sort((left, right) => right.bad - left.bad);
   });
 }
 
-function seriesOf(counter: CounterSample): string {
+function seriesKey(counter: CounterSample): string {
   return counter.name + JSON.stringify(Object.entries(counter.labels).sort());
 }
 
-function sumBad(spent: readonly Spent[]): number {
-  return spent.reduce((sum, { bad }) => sum + bad, 0);
+function sumBad(deltas: readonly RequestDelta[]): number {
+  return deltas.reduce((sum, { bad }) => sum + bad, 0);
 }
 
-function sumRequests(spent: readonly Spent[]): number {
-  return spent.reduce((sum, { requests }) => sum + requests, 0);
+function sumRequests(deltas: readonly RequestDelta[]): number {
+  return deltas.reduce((sum, { requests }) => sum + requests, 0);
 }
--- a/packages/burn/src/burn_report_test.ts
+++ b/packages/burn/src/burn_report_test.ts
@@ -1,11 +1,11 @@
 /**
- * Tests of the burn report.
+ * Tests of the computation and the output of the burn report.
  *
  * @module
  */
 import { Service } from "@bamboolink/types";
 import { expect } from "chai";
-import { formatBurn, writeBurnPage } from "./burn_output.ts";
+import { formatBurnTable, renderBurnPage } from "./burn_output.ts";
 import {
   type BurnSample,
   computeBurn,
@@ -48,35 +48,43 @@
   ];
 }
 
-function report(samples: readonly BurnSample[]) {
-  const all = computeBurn(samples, {
+function reportService(samples: readonly BurnSample[]) {
+  const burnReport = computeBurn(samples, {
     services: [service],
     shortMs: 1_000,
     longMs: 10_000,
   });
-  return all.services[0] as NonNullable<typeof all.services[0]>;
+  return burnReport.services[0] as NonNullable<typeof burnReport.services[0]>;
 }
 
-describe("burn", () => {
-  const calm = counters({ done: 100, good: 100, refused: 0 });
-  const bad = counters({ done: 190, good: 180, refused: 10, invalid: 50 });
+describe("burn report", () => {
+  const healthyCounters = counters({ done: 100, good: 100, refused: 0 });
+  const degradedCounters = counters({
+    done: 190,
+    good: 180,
+    refused: 10,
+    invalid: 50,
+  });
   const samples: BurnSample[] = [
-    { atMs: 0, hosts: { a: counters({ done: 0, good: 0, refused: 0 }) } },
-    { atMs: 5_000, hosts: { a: calm } },
-    { atMs: 9_500, hosts: { a: bad } },
+    {
+      recordedAtMs: 0,
+      hosts: { a: counters({ done: 0, good: 0, refused: 0 }) },
+    },
+    { recordedAtMs: 5_000, hosts: { a: healthyCounters } },
+    { recordedAtMs: 9_500, hosts: { a: degradedCounters } },
   ];
 
-  describe("over windows", () => {
-    it("counts late and refused requests against the objective, and forwarded ones once", () => {
-      const { long, short, budgetLeft } = report(samples);
+  describe("windows", () => {
+    it("counts late and refused requests as bad, and forwarded requests once", () => {
+      const { long, short, budgetLeft } = reportService(samples);
       expect(long).to.include({ requests: 200, bad: 20 });
       expect(long.burn).to.be.closeTo(1, 1e-9);
       expect(short.burn).to.be.closeTo(2, 1e-9);
       expect(budgetLeft).to.be.closeTo(0, 1e-9);
     });
 
-    it("says what spent the budget", () => {
-      expect(report(samples).causes).to.deep.equal([
+    it("lists the causes of bad requests by outcome, operation and host", () => {
+      expect(reportService(samples).causes).to.deep.equal([
         { by: "outcome", name: "late", bad: 10 },
         { by: "outcome", name: "not_run", bad: 10 },
         { by: "operation", name: "quote", bad: 20 },
@@ -85,26 +93,29 @@
     });
   });
 
-  describe("when a daemon restarts", () => {
-    // Symptom: the report shows a negative number of requests.
-    // Sequence: a daemon ends and its counters begin at 0 again between two readings.
-    // Cause: taking the difference of counters of two lives.
-    it("counts the new life from its beginning", () => {
-      const restarted = [{ atMs: 0, hosts: { a: bad } }, {
-        atMs: 1,
-        hosts: { a: calm },
+  describe("daemon restart", () => {
+    // Guards against a negative number of requests when a daemon's counters restart at 0 between two samples and the
+    // counters of its two processes are subtracted.
+    it("counts the requests of the new process from 0", () => {
+      const restarted = [{ recordedAtMs: 0, hosts: { a: degradedCounters } }, {
+        recordedAtMs: 1,
+        hosts: { a: healthyCounters },
       }];
-      expect(report(restarted).long).to.include({ requests: 100, bad: 0 });
+      expect(reportService(restarted).long).to.include({
+        requests: 100,
+        bad: 0,
+      });
     });
   });
 
   describe("output", () => {
-    it("is a table and a page that stands alone", () => {
-      const all = { services: [report(samples)] };
-      expect(formatBurn(all).join("\n")).to.contain("quotes").and.contain(
-        "spent by outcome late: 10",
-      );
-      const page = writeBurnPage(all);
+    it("is a text table and a self-contained HTML page", () => {
+      const burnReport = { services: [reportService(samples)] };
+      expect(formatBurnTable(burnReport).join("\n")).to.contain("quotes").and
+        .contain(
+          "spent by outcome late: 10",
+        );
+      const page = renderBurnPage(burnReport);
       expect(page).to.contain("<svg").and.not.match(/(src|href)=/);
     });
   });
--- a/packages/burn/src/main.ts
+++ b/packages/burn/src/main.ts
@@ -1,6 +1,7 @@
 #!/usr/bin/env node
 /**
- * `bamboolink-burn`: the burn report as a process.
+ * Command `bamboolink-burn`: samples the counters of daemons for a while and prints the burn report. Exits with 2 for
+ * invalid settings or an invalid configuration document.
  *
  * @module
  */
@@ -10,42 +11,50 @@
 import { EXIT_INVALID, readSettingsOrExit } from "@bamboolink/settings";
 import { request } from "undici";
 import { z } from "zod";
-import { formatBurn, writeBurnPage } from "./burn_output.ts";
+import { formatBurnTable, renderBurnPage } from "./burn_output.ts";
 import {
   type BurnSample,
   computeBurn,
   type CounterSample,
 } from "./burn_report.ts";
 
-const seconds = z.coerce.number({ error: "expected seconds" }).min(0.1).max(
+const seconds = z.coerce.number({ error: "expected a number of seconds" }).min(
+  0.1,
+).max(
   86_400,
 );
 
 const Settings = z.strictObject({
-  sources: z.string({ error: "expected host=address:port, with commas" })
+  sources: z.string({
+    error: "expected host=address:port, separated by commas",
+  })
     .regex(
       /^[^=,]+=[^=,]+(,[^=,]+=[^=,]+)*$/,
-      "expected host=address:port, with commas",
+      "expected host=address:port, separated by commas",
     )
     .describe(
-      "Admin addresses of the daemons, as host=address:port with commas.",
+      "Admin addresses of the daemons, as host=address:port separated by commas.",
     ),
-  configuration: z.string({ error: "expected a file" }).min(1).describe(
-    "File with the configuration document.",
+  configuration: z.string({ error: "expected a file path" }).min(1).describe(
+    "Path of the configuration document.",
   ),
   seconds: seconds.default(60).describe(
-    "How long counters are read; the long window.",
+    "How long counters are sampled, in seconds; also the length of the long window.",
+  ),
+  short_seconds: seconds.default(10).describe(
+    "Length of the short window in seconds.",
+  ),
+  every_seconds: seconds.default(2).describe(
+    "Time between two samples in seconds.",
   ),
-  short_seconds: seconds.default(10).describe("The short window."),
-  every_seconds: seconds.default(2).describe("Time between two readings."),
   output: z.enum(["human", "json", "html"], {
     error: "expected human, json or html",
-  }).default("human").describe("How the report is printed."),
+  }).default("human").describe("Output format of the report."),
 });
 
 const settings = readSettingsOrExit(Settings, {
   name: "bamboolink-burn",
-  purpose: "how fast services use up what their objectives allow",
+  purpose: "how fast services use up their error budgets",
 });
 const document = parseDocument(await readFile(settings.configuration, "utf8"));
 if (document.isErr()) {
@@ -58,11 +67,11 @@
   source.split("=") as [string, string]
 );
 const samples: BurnSample[] = [];
-const endMs = performance.now() + settings.seconds * 1_000;
-samples.push(await readSample());
-while (performance.now() < endMs) {
+const endsAtMs = performance.now() + settings.seconds * 1_000;
+samples.push(await fetchSample());
+while (performance.now() < endsAtMs) {
   await sleep(settings.every_seconds * 1_000);
-  samples.push(await readSample());
+  samples.push(await fetchSample());
 }
 const report = computeBurn(samples, {
   services: document.value.services,
@@ -70,27 +79,27 @@
   longMs: settings.seconds * 1_000 + 1,
 });
 const outputs = {
-  human: () => formatBurn(report).join("\n") + "\n",
+  human: () => formatBurnTable(report).join("\n") + "\n",
   json: () => JSON.stringify(report) + "\n",
-  html: () => writeBurnPage(report),
+  html: () => renderBurnPage(report),
 };
 process.stdout.write(outputs[settings.output]());
 
-async function readSample(): Promise<BurnSample> {
+async function fetchSample(): Promise<BurnSample> {
   const hosts = await Promise.all(
     sources.map(async ([host, address]) =>
-      [host, await readCounters(address)] as const
+      [host, await fetchCounters(address)] as const
     ),
   );
   return {
-    atMs: performance.now(),
+    recordedAtMs: performance.now(),
     hosts: Object.fromEntries(
       hosts.filter(([, counters]) => counters !== undefined),
     ) as BurnSample["hosts"],
   };
 }
 
-async function readCounters(
+async function fetchCounters(
   address: string,
 ): Promise<CounterSample[] | undefined> {
   try {
--- a/packages/burn/src/mod.ts
+++ b/packages/burn/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * A report on how fast the services use up what their objectives allow.
+ * A report on how fast services use up the error budgets of their service-level objectives.
  *
  * @module
  */
@@ -9,4 +9,4 @@
   computeBurn,
   type CounterSample,
 } from "./burn_report.ts";
-export { formatBurn, writeBurnPage } from "./burn_output.ts";
+export { formatBurnTable, renderBurnPage } from "./burn_output.ts";
