--- a/packages/store_standin/src/faults.ts
+++ b/packages/store_standin/src/faults.ts
@@ -1,67 +1,67 @@
 /**
- * Faults that the stand-in shows on demand, and its count of calls.
+ * Injected faults of the stand-in and its call counts.
  *
  * @module
  */
 import { z } from "zod";
 
-/** Body of `POST /standin/faults`. What is left out goes back to healthy. */
+/** Body of `POST /standin/faults`. An omitted field resets its fault. */
 export const FaultSettings = z.strictObject({
-  /** Every connection is cut without an answer. */
+  /** Every connection is closed without a response. */
   down: z.boolean().default(false),
-  /** Each answer comes this much later, in milliseconds. */
+  /** Delay of each response in milliseconds. */
   delay_ms: z.number().min(0).max(60_000).default(0),
-  /** Writes take effect and their answers are lost; so many of them. */
+  /** Number of further calls other than reads that take effect without a response being sent. */
   lose_answers: z.int().min(0).default(0),
-  /** All leases lapse at once. */
+  /** Ends all leases immediately. */
   lapse_leases: z.boolean().default(false),
 });
-/** Faults in force. */
+/** The faults currently injected. */
 export type FaultSettings = z.infer<typeof FaultSettings>;
 
-/** The faults and counts of one stand-in. */
+/** Injected faults and call counts of one stand-in. */
 export class Faults {
   private settings: FaultSettings = FaultSettings.parse({});
   private readonly calls = new Map<string, number>();
 
   private constructor() {}
 
-  /** Creates a healthy one. */
+  /** Creates the state of a stand-in without faults. */
   static create(): Faults {
     return new Faults();
   }
 
-  /** Puts faults in force. */
+  /** Replaces the injected faults. */
   set(settings: FaultSettings): void {
     this.settings = settings;
   }
 
-  /** Whether the store is down. */
+  /** Whether every connection is closed without a response. */
   get down(): boolean {
     return this.settings.down;
   }
 
-  /** How much later answers come, in milliseconds. */
-  get delayMs(): number {
+  /** Delay of each response in milliseconds. */
+  get responseDelayMs(): number {
     return this.settings.delay_ms;
   }
 
-  /** Whether the answer of the write that just took effect is lost. */
-  takeLostAnswer(): boolean {
-    const lose = this.settings.lose_answers > 0;
+  /** Returns whether to drop the response to the call that just took effect, and decrements the number to drop. */
+  consumeDroppedResponse(): boolean {
+    const isDropped = this.settings.lose_answers > 0;
     this.settings = {
       ...this.settings,
       lose_answers: Math.max(0, this.settings.lose_answers - 1),
     };
-    return lose;
+    return isDropped;
   }
 
-  /** Counts a call. */
+  /** Counts a call of the given path. */
   countCall(path: string): void {
     this.calls.set(path, (this.calls.get(path) ?? 0) + 1);
   }
 
-  /** Calls by path since the start. */
+  /** Number of calls by path since the stand-in was created. */
   get counts(): Record<string, number> {
     return Object.fromEntries(this.calls);
   }
--- a/packages/store_standin/src/main.ts
+++ b/packages/store_standin/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `bamboolink-store-standin`: the store stand-in as a process.
+ * Command `bamboolink-store-standin`: runs the stand-in for the key-value service until SIGTERM or SIGINT.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 
 const Settings = z.strictObject({
   store_port: z.coerce.number().int().min(0).max(65_535).default(2379).describe(
-    "Port on loopback.",
+    "Port on loopback; 0 lets the system choose.",
   ),
 });
 
--- a/packages/store_standin/src/key_value_memory.ts
+++ b/packages/store_standin/src/memory_key_value_store.ts
@@ -1,52 +1,55 @@
 /**
- * Records, revisions and leases in memory.
+ * In-memory key-value store with revisions, leases and a change history for watches.
  *
  * @module
  */
 
-/** One record. Keys and values stay base64, as they arrive. */
-export interface MemoryRecord {
+/** One record. Keys and values are kept in base64, as received. */
+export interface StoredRecord {
   readonly key: string;
   readonly value: string;
   readonly revision: number;
   readonly lease: string | undefined;
 }
 
-/** One change, for watches. */
-export interface MemoryChange {
+/** One change of a record, as reported to watches. */
+export interface RecordChange {
   readonly type: "PUT" | "DELETE";
   readonly key: string;
   readonly value: string;
   readonly revision: number;
 }
 
-/** The largest value in bytes, as the platform has it. */
-export const MAXIMUM_VALUE_BYTES = 1_048_576;
-/** How many changes watches can be given after the fact. */
-const CHANGES_KEPT = 20_000;
+/** Maximum size of a value in bytes, equal to the platform's limit. */
+export const MAX_VALUE_BYTES = 1_048_576;
+/** Number of latest changes retained for watches that start at an earlier revision. */
+const RETAINED_CHANGES = 20_000;
 
-/** The state of the stand-in. */
-export class KeyValueMemory {
-  private readonly records = new Map<string, MemoryRecord>();
+/** The records, leases and change history of a stand-in. */
+export class MemoryKeyValueStore {
+  private readonly records = new Map<string, StoredRecord>();
   private readonly leases = new Map<
     string,
-    { ttlMs: number; expiresMs: number }
+    { ttlMs: number; expiresAtMs: number }
   >();
-  private readonly listeners = new Set<(change: MemoryChange) => void>();
-  private changes: MemoryChange[] = [];
-  private nextLease = 1;
-  /** The revision of the last write. */
+  private readonly listeners = new Set<(change: RecordChange) => void>();
+  private changes: RecordChange[] = [];
+  private nextLeaseId = 1;
+  /** Revision of the last write. */
   revision = 1;
 
   private constructor() {}
 
-  /** Creates an empty memory. */
-  static create(): KeyValueMemory {
-    return new KeyValueMemory();
+  /** Creates an empty store. */
+  static create(): MemoryKeyValueStore {
+    return new MemoryKeyValueStore();
   }
 
-  /** Records whose decoded key is in a range; without `end` the one record. */
-  range(key: string, end: string | undefined): MemoryRecord[] {
+  /**
+   * Returns the records whose decoded key is in the range from `key` up to `end` (exclusive), or the record of `key`
+   * where `end` is undefined.
+   */
+  range(key: string, end: string | undefined): StoredRecord[] {
     if (end === undefined) {
       const record = this.records.get(key);
       return record === undefined ? [] : [record];
@@ -56,7 +59,10 @@
     );
   }
 
-  /** Writes or deletes (`value` undefined) if the record's revision is as expected. */
+  /**
+   * Writes a record, or deletes it where `value` is undefined, if its revision equals `expectedRevision` (0 for a record
+   * that does not exist). Returns whether it did.
+   */
   compareAndSwap(
     write: {
       key: string;
@@ -89,31 +95,31 @@
     return true;
   }
 
-  /** Grants a lease. */
+  /** Grants a lease and returns its id. */
   grantLease(ttlMs: number, nowMs: number): string {
-    const id = String(this.nextLease);
-    this.nextLease += 1;
-    this.leases.set(id, { ttlMs, expiresMs: nowMs + ttlMs });
+    const id = String(this.nextLeaseId);
+    this.nextLeaseId += 1;
+    this.leases.set(id, { ttlMs, expiresAtMs: nowMs + ttlMs });
     return id;
   }
 
-  /** Renews a lease and returns its length in milliseconds, 0 where it has lapsed. */
+  /** Renews a lease and returns its time to live in milliseconds, or 0 where it has expired. */
   renewLease(id: string, nowMs: number): number {
     this.expireLeases(nowMs);
     const lease = this.leases.get(id);
     if (lease === undefined) {
       return 0;
     }
-    lease.expiresMs = nowMs + lease.ttlMs;
+    lease.expiresAtMs = nowMs + lease.ttlMs;
     return lease.ttlMs;
   }
 
-  /** Whether a lease is alive. */
+  /** Whether a lease exists. */
   hasLease(id: string): boolean {
     return this.leases.has(id);
   }
 
-  /** Ends a lease and deletes the records that hang on it. */
+  /** Ends a lease and deletes the records attached to it. */
   revokeLease(id: string): void {
     this.leases.delete(id);
     [...this.records.values()].filter((record) => record.lease === id).forEach((
@@ -121,38 +127,39 @@
     ) => this.remove(record.key));
   }
 
-  /** Ends the leases whose time is up. */
+  /** Revokes the leases that have expired. */
   expireLeases(nowMs: number): void {
     [...this.leases]
-      .filter(([, lease]) => lease.expiresMs <= nowMs)
+      .filter(([, lease]) => lease.expiresAtMs <= nowMs)
       .forEach(([id]) => this.revokeLease(id));
   }
 
-  /** Ends all leases at once, as a platform might after a failure of its own. */
-  lapseAllLeases(): void {
+  /** Revokes all leases at once, as the platform may do after a failure of its own. */
+  revokeAllLeases(): void {
     [...this.leases.keys()].forEach((id) => this.revokeLease(id));
   }
 
-  /** The kept changes of a range from a revision on; `undefined` where older ones are gone. */
+  /** Returns the retained changes of a range from `revision` on, or `undefined` where some are no longer retained. */
   changesSince(
     revision: number,
     range: { key: string; end: string },
-  ): MemoryChange[] | undefined {
-    const oldest = this.changes[0]?.revision ?? this.revision + 1;
-    const complete = this.changes.length < CHANGES_KEPT || revision >= oldest;
-    return complete
+  ): RecordChange[] | undefined {
+    const oldestRevision = this.changes[0]?.revision ?? this.revision + 1;
+    const isComplete = this.changes.length < RETAINED_CHANGES ||
+      revision >= oldestRevision;
+    return isComplete
       ? this.changes.filter((change) =>
         change.revision >= revision && isInRange(change.key, range)
       )
       : undefined;
   }
 
-  /** Calls back for each change of a range, until the returned function is called. */
-  listen(
+  /** Calls `onChange` for each change of a range until the returned function is called. */
+  subscribe(
     range: { key: string; end: string },
-    onChange: (change: MemoryChange) => void,
+    onChange: (change: RecordChange) => void,
   ): () => void {
-    const listener = (change: MemoryChange) => {
+    const listener = (change: RecordChange) => {
       if (isInRange(change.key, range)) {
         onChange(change);
       }
@@ -168,18 +175,18 @@
     }
   }
 
-  private publish(change: MemoryChange): void {
+  private publish(change: RecordChange): void {
     this.changes.push(change);
-    this.changes = this.changes.length > CHANGES_KEPT * 1.5
-      ? this.changes.slice(-CHANGES_KEPT)
+    this.changes = this.changes.length > RETAINED_CHANGES * 1.5
+      ? this.changes.slice(-RETAINED_CHANGES)
       : this.changes;
     this.listeners.forEach((listener) => listener(change));
   }
 }
 
 function isInRange(key: string, range: { key: string; end: string }): boolean {
-  const name = decode(key);
-  return name >= decode(range.key) && name < decode(range.end);
+  const decodedKey = decode(key);
+  return decodedKey >= decode(range.key) && decodedKey < decode(range.end);
 }
 
 function decode(text: string): string {
--- a/packages/store_standin/src/mod.ts
+++ b/packages/store_standin/src/mod.ts
@@ -1,9 +1,10 @@
 /**
- * A small stand-in for the platform's key-value service: etcd's published JSON interface over memory,
- * with faults on demand and a count of calls. For tests, the quickstart and measurements only.
+ * A small stand-in for the platform's key-value service: the part of etcd's JSON interface that package
+ * `store` uses, with in-memory storage, fault injection and call counts. For tests, the quickstart and
+ * measurements only.
  *
  * @module
  */
 export { StoreStandin } from "./store_standin.ts";
-export { KeyValueMemory } from "./key_value_memory.ts";
+export { MemoryKeyValueStore } from "./memory_key_value_store.ts";
 export { Faults } from "./faults.ts";
--- a/packages/store_standin/src/store_standin.ts
+++ b/packages/store_standin/src/store_standin.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP side of the stand-in.
+ * HTTP server of the stand-in: the calls of the key-value service, and the control calls under `/standin/`.
  *
  * @module
  */
@@ -14,11 +14,11 @@
 import { z } from "zod";
 import { Faults, FaultSettings } from "./faults.ts";
 import {
-  KeyValueMemory,
-  MAXIMUM_VALUE_BYTES,
-  type MemoryChange,
-  type MemoryRecord,
-} from "./key_value_memory.ts";
+  MAX_VALUE_BYTES,
+  MemoryKeyValueStore,
+  type RecordChange,
+  type StoredRecord,
+} from "./memory_key_value_store.ts";
 
 const RangeRequest = z.object({
   key: z.string(),
@@ -56,27 +56,27 @@
 const GrantRequest = z.object({ TTL: z.coerce.number().min(1) });
 const LeaseRequest = z.object({ ID: z.string() });
 
-/** How often leases are looked over, in milliseconds. */
-const LEASE_SWEEP_MS = 50;
+/** Interval between checks for expired leases, in milliseconds. */
+const LEASE_SWEEP_INTERVAL_MS = 50;
 
-type Handler = (body: unknown, response: ServerResponse) => unknown;
+type CallHandler = (body: unknown, response: ServerResponse) => unknown;
 
-/** An answer other than 200. */
-class Refusal extends Error {
+/** Error that is sent as a response with the given status. */
+class HttpError extends Error {
   constructor(readonly status: number, message: string) {
     super(message);
   }
 }
 
-/** The stand-in as one HTTP server on loopback. */
+/** A stand-in for the key-value service, as an HTTP server on loopback. */
 export class StoreStandin {
-  /** The records; tests may look into them. */
-  readonly memory = KeyValueMemory.create();
-  /** The faults; tests may set them. */
+  /** The stored state, accessible to tests. */
+  readonly store = MemoryKeyValueStore.create();
+  /** The injected faults, settable by tests. */
   readonly faults = Faults.create();
   private readonly server: Server;
-  private sweep: NodeJS.Timeout | undefined;
-  private readonly handlers: Readonly<Record<string, Handler>> = {
+  private leaseSweepTimer: NodeJS.Timeout | undefined;
+  private readonly handlers: Readonly<Record<string, CallHandler>> = {
     "/v3/kv/range": (body) => this.range(RangeRequest.parse(body)),
     "/v3/kv/txn": (body) => this.transact(TxnRequest.parse(body)),
     "/v3/lease/grant": (body) => this.grantLease(GrantRequest.parse(body)),
@@ -88,48 +88,48 @@
 
   private constructor() {
     this.server = createServer((request, response) =>
-      void this.serve(request, response)
+      void this.handleRequest(request, response)
     );
   }
 
-  /** Creates a stand-in that does not listen yet. */
+  /** Creates a stand-in that is not listening. */
   static create(): StoreStandin {
     return new StoreStandin();
   }
 
-  /** Listens on loopback and returns the port. */
+  /** Listens on loopback and returns the port; 0 lets the system choose one. Rejects where the port can't be bound. */
   async listen(port: number): Promise<number> {
     await new Promise<void>((resolve, reject) => {
       this.server.once("error", reject);
       this.server.listen(port, "127.0.0.1", resolve);
     });
-    this.sweep = setInterval(
-      () => this.memory.expireLeases(performance.now()),
-      LEASE_SWEEP_MS,
+    this.leaseSweepTimer = setInterval(
+      () => this.store.expireLeases(performance.now()),
+      LEASE_SWEEP_INTERVAL_MS,
     );
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Stops and cuts all connections. */
+  /** Stops listening and closes all connections. */
   async close(): Promise<void> {
-    clearInterval(this.sweep);
+    clearInterval(this.leaseSweepTimer);
     const closed = new Promise((resolve) => this.server.close(resolve));
     this.server.closeAllConnections();
     await closed;
   }
 
-  private async serve(
+  private async handleRequest(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
     const path = request.url ?? "";
     try {
-      const text = await readText(request);
+      const text = await readBody(request);
       if (path.startsWith("/standin/")) {
-        response.on("finish", () => this.cutIfDown());
-        return send(response, {
+        response.on("finish", () => this.closeConnectionsIfDown());
+        return sendJson(response, {
           status: 200,
-          body: this.serveControl(path, text),
+          body: this.handleControl(path, text),
         });
       }
       this.faults.countCall(path);
@@ -137,73 +137,73 @@
         request.socket.destroy();
         return;
       }
-      await this.serveCall({ path, text }, response);
+      await this.handleCall({ path, text }, response);
     } catch (cause) {
-      const status = cause instanceof Refusal ? cause.status : 400;
-      send(response, {
+      const status = cause instanceof HttpError ? cause.status : 400;
+      sendJson(response, {
         status,
         body: { code: 3, message: (cause as Error).message },
       });
     }
   }
 
-  private async serveCall(
+  private async handleCall(
     call: { path: string; text: string },
     response: ServerResponse,
   ): Promise<void> {
     const handler = this.handlers[call.path];
     if (handler === undefined) {
-      throw new Refusal(404, `unknown path ${call.path}`);
+      throw new HttpError(404, `unknown path ${call.path}`);
     }
-    const answer = handler(JSON.parse(call.text), response);
-    if (answer === undefined) {
+    const result = handler(JSON.parse(call.text), response);
+    if (result === undefined) {
       return;
     }
-    const writes = call.path !== "/v3/kv/range";
-    const lost = writes && this.faults.takeLostAnswer();
-    if (this.faults.delayMs > 0) {
-      await sleep(this.faults.delayMs);
+    const isWrite = call.path !== "/v3/kv/range";
+    const isDropped = isWrite && this.faults.consumeDroppedResponse();
+    if (this.faults.responseDelayMs > 0) {
+      await sleep(this.faults.responseDelayMs);
     }
-    if (lost || this.faults.down) {
+    if (isDropped || this.faults.down) {
       response.socket?.destroy();
       return;
     }
-    send(response, { status: 200, body: answer });
+    sendJson(response, { status: 200, body: result });
   }
 
-  private serveControl(path: string, text: string): unknown {
+  private handleControl(path: string, text: string): unknown {
     if (path === "/standin/counts") {
-      return { calls: this.faults.counts, revision: this.memory.revision };
+      return { calls: this.faults.counts, revision: this.store.revision };
     }
     if (path === "/standin/faults") {
       this.setFaults(FaultSettings.parse(JSON.parse(text)));
       return {};
     }
-    throw new Refusal(404, `unknown path ${path}`);
+    throw new HttpError(404, `unknown path ${path}`);
   }
 
-  /** Puts faults in force. */
+  /** Replaces the injected faults and ends all leases where requested. */
   setFaults(settings: FaultSettings): void {
     this.faults.set(settings);
     if (settings.lapse_leases) {
-      this.memory.lapseAllLeases();
+      this.store.revokeAllLeases();
     }
   }
 
-  /** Going down also cuts the connections that are open. */
-  private cutIfDown(): void {
+  /** Closes the open connections where the stand-in is down. */
+  private closeConnectionsIfDown(): void {
     if (this.faults.down) {
       this.server.closeAllConnections();
     }
   }
 
   private get header(): { revision: string } {
-    return { revision: String(this.memory.revision) };
+    return { revision: String(this.store.revision) };
   }
 
   private range(request: z.infer<typeof RangeRequest>): unknown {
-    const kvs = this.memory.range(request.key, request.range_end).map(
-      writeRecord,
+    const kvs = this.store.range(request.key, request.range_end).map(
+      encodeRecord,
     );
     return { header: this.header, kvs, count: String(kvs.length) };
   }
@@ -220,30 +220,30 @@
       };
     if (
       write.value !== undefined &&
-      Buffer.byteLength(write.value, "base64") > MAXIMUM_VALUE_BYTES
+      Buffer.byteLength(write.value, "base64") > MAX_VALUE_BYTES
     ) {
-      throw new Refusal(400, "request is too large");
+      throw new HttpError(400, "request is too large");
     }
-    if (write.lease !== undefined && !this.memory.hasLease(write.lease)) {
-      throw new Refusal(404, "requested lease not found");
+    if (write.lease !== undefined && !this.store.hasLease(write.lease)) {
+      throw new HttpError(404, "requested lease not found");
     }
-    const succeeded = this.memory.compareAndSwap(write, compare.mod_revision);
+    const succeeded = this.store.compareAndSwap(write, compare.mod_revision);
     return { header: this.header, ...(succeeded ? { succeeded } : {}) };
   }
 
   private grantLease(request: z.infer<typeof GrantRequest>): unknown {
-    const id = this.memory.grantLease(request.TTL * 1_000, performance.now());
+    const id = this.store.grantLease(request.TTL * 1_000, performance.now());
     return { header: this.header, ID: id, TTL: String(request.TTL) };
   }
 
   private keepAlive(request: z.infer<typeof LeaseRequest>): unknown {
-    const ttlMs = this.memory.renewLease(request.ID, performance.now());
+    const ttlMs = this.store.renewLease(request.ID, performance.now());
     const ttl = ttlMs > 0 ? { TTL: String(ttlMs / 1_000) } : {};
     return { result: { header: this.header, ID: request.ID, ...ttl } };
   }
 
   private revokeLease(request: z.infer<typeof LeaseRequest>): unknown {
-    this.memory.revokeLease(request.ID);
+    this.store.revokeLease(request.ID);
     return { header: this.header };
   }
 
@@ -254,38 +254,39 @@
     const { key, range_end: end, start_revision: start } =
       request.create_request;
     const range = { key, end };
-    const missed = this.memory.changesSince(start, range);
+    const pastChanges = this.store.changesSince(start, range);
     response.writeHead(200, { "content-type": "application/json" });
-    if (missed === undefined) {
-      const compact = {
+    if (pastChanges === undefined) {
+      const compaction = {
         canceled: true,
-        compact_revision: String(this.memory.revision),
+        compact_revision: String(this.store.revision),
       };
       response.end(
-        JSON.stringify({ result: { header: this.header, ...compact } }) + "\n",
+        JSON.stringify({ result: { header: this.header, ...compaction } }) +
+          "\n",
       );
       return;
     }
-    this.writeWatch(response, { created: true });
-    missed.forEach((change) =>
-      this.writeWatch(response, { events: [writeChange(change)] })
+    this.writeWatchResult(response, { created: true });
+    pastChanges.forEach((change) =>
+      this.writeWatchResult(response, { events: [encodeChange(change)] })
     );
-    const stop = this.memory.listen(range, (change) => {
+    const unsubscribe = this.store.subscribe(range, (change) => {
       if (!this.faults.down) {
-        this.writeWatch(response, { events: [writeChange(change)] });
+        this.writeWatchResult(response, { events: [encodeChange(change)] });
       }
     });
-    response.on("close", stop);
+    response.on("close", unsubscribe);
   }
 
-  private writeWatch(response: ServerResponse, fields: object): void {
+  private writeWatchResult(response: ServerResponse, fields: object): void {
     response.write(
       JSON.stringify({ result: { header: this.header, ...fields } }) + "\n",
     );
   }
 }
 
-function writeRecord(record: MemoryRecord): unknown {
+function encodeRecord(record: StoredRecord): unknown {
   return {
     key: record.key,
     value: record.value,
@@ -293,7 +294,7 @@
   };
 }
 
-function writeChange(change: MemoryChange): unknown {
+function encodeChange(change: RecordChange): unknown {
   const kv = {
     key: change.key,
     value: change.value,
@@ -302,7 +303,7 @@
   return change.type === "DELETE" ? { type: "DELETE", kv } : { kv };
 }
 
-async function readText(request: IncomingMessage): Promise<string> {
+async function readBody(request: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
   for await (const chunk of request) {
     chunks.push(chunk as Buffer);
@@ -310,10 +311,10 @@
   return Buffer.concat(chunks).toString("utf8");
 }
 
-function send(
+function sendJson(
   response: ServerResponse,
-  answer: { status: number; body: unknown },
+  content: { status: number; body: unknown },
 ): void {
-  response.writeHead(answer.status, { "content-type": "application/json" });
-  response.end(JSON.stringify(answer.body));
+  response.writeHead(content.status, { "content-type": "application/json" });
+  response.end(JSON.stringify(content.body));
 }
