--- a/packages/backend_standin/src/backend_standin.ts
+++ b/packages/backend_standin/src/backend_standin.ts
@@ -1,6 +1,6 @@
 /**
- * The backend server stand-in: it announces itself, runs requests in its slots, checks fencing tokens
- * if it is told to, and writes down every run.
+ * A stand-in for a backend server: announces itself to the daemon of its host, runs requests, checks fencing
+ * tokens if configured to, and records every run in a ledger.
  *
  * @module
  */
@@ -16,20 +16,23 @@
 import { request } from "undici";
 import { BackendFaults } from "./backend_faults.ts";
 
-/** How a stand-in behaves. */
+/** Settings of a stand-in. */
 export interface BackendStandinOptions {
   readonly host: string;
   readonly service: string;
-  /** Admin address of the daemon on its host, `address:port`. */
+  /** Admin address of the daemon on the stand-in's host, as `address:port`. */
   readonly daemon: string;
+  /** Announced number of requests that run at once; the stand-in does not enforce it. */
   readonly slots: number;
+  /** Announced maximum number of connections; the stand-in does not enforce it. */
   readonly connections: number;
+  /** Whether requests with a stale fencing token or an expired grant are refused. */
   readonly checksFencing: boolean;
-  /** How long a request takes, in milliseconds. */
+  /** Processing time of a request in milliseconds. */
   readonly serviceMs: number;
 }
 
-/** One run of one request. */
+/** One execution of a request, as listed by `GET /standin/ledger`. */
 export interface Run {
   readonly requestId: string;
   readonly idempotencyKey: string;
@@ -40,62 +43,66 @@
   state: "running" | "finished" | "cancelled";
 }
 
+/** Response to a request that is not run. */
 interface Refusal {
   readonly status: number;
   readonly error: string;
   readonly fenced: boolean;
 }
 
-/** How often the announcement is repeated, in milliseconds. */
-const ANNOUNCE_EVERY_MS = 500;
-/** The ledger keeps this many runs. */
-const LEDGER_LIMIT = 200_000;
+/** Interval between announcements, in milliseconds. */
+const ANNOUNCEMENT_INTERVAL_MS = 500;
+/** Maximum number of runs in the ledger; the oldest are removed first. */
+const MAX_LEDGER_RUNS = 200_000;
 
-/** One backend server stand-in. */
+/** A stand-in for a backend server, as an HTTP server on loopback. */
 export class BackendStandin {
-  /** What ran, oldest first. */
+  /** Executed requests, oldest first. */
   readonly ledger: Run[] = [];
   private readonly server: Server;
   private readonly highestTokens = new Map<number, number>();
   private faults = BackendFaults.parse({});
-  private announcing: NodeJS.Timeout | undefined;
+  private announcementTimer: NodeJS.Timeout | undefined;
   private state: Announcement["state"] = "ready";
 
   private constructor(private readonly options: BackendStandinOptions) {
     this.server = createServer((incoming, response) =>
-      void this.serve(incoming, response)
+      void this.handleRequest(incoming, response)
     );
     this.server.keepAliveTimeout = 60_000;
   }
 
-  /** Creates a stand-in that does not listen yet. */
+  /** Creates a stand-in that is not listening. */
   static create(options: BackendStandinOptions): BackendStandin {
     return new BackendStandin(options);
   }
 
-  /** Listens on loopback, begins to announce itself and returns the port. */
+  /**
+   * Listens on loopback, starts to announce itself and returns the port; 0 lets the system choose one. Rejects where the
+   * port can't be bound.
+   */
   async listen(port: number): Promise<number> {
     await new Promise<void>((resolve, reject) => {
       this.server.once("error", reject);
       this.server.listen(port, "127.0.0.1", resolve);
     });
-    this.announcing = setInterval(
+    this.announcementTimer = setInterval(
       () => void this.announce(),
-      ANNOUNCE_EVERY_MS,
+      ANNOUNCEMENT_INTERVAL_MS,
     );
     void this.announce();
     return this.port;
   }
 
-  /** Announces that it drains. */
+  /** Announces that the stand-in is draining. */
   drain(): void {
     this.state = "draining";
     void this.announce();
   }
 
-  /** Stops and cuts all connections. */
+  /** Stops listening and closes all connections. */
   async close(): Promise<void> {
-    clearInterval(this.announcing);
+    clearInterval(this.announcementTimer);
     const closed = new Promise((resolve) => this.server.close(resolve));
     this.server.closeAllConnections();
     await closed;
@@ -115,22 +122,22 @@
       state: this.state,
     };
     try {
-      const answer = await request(
+      const response = await request(
         `http://${this.options.daemon}/bamboolink/v1/announcements`,
         {
           method: "POST",
           headers: { "content-type": "application/json" },
           body: JSON.stringify(announcement),
-          signal: AbortSignal.timeout(ANNOUNCE_EVERY_MS),
+          signal: AbortSignal.timeout(ANNOUNCEMENT_INTERVAL_MS),
         },
       );
-      await answer.body.dump();
+      await response.body.dump();
     } catch {
-      // The daemon may not be up yet; the next announcement comes soon.
+      // The daemon may not have started yet; the next announcement follows within ANNOUNCEMENT_INTERVAL_MS.
     }
   }
 
-  private async serve(
+  private async handleRequest(
     incoming: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -139,7 +146,7 @@
       return;
     }
     if (incoming.url?.startsWith("/standin/")) {
-      return this.serveControl(incoming.url, { body, response });
+      return this.handleControl(incoming.url, { body, response });
     }
     const refusal = this.findRefusal(incoming);
     if (refusal !== undefined) {
@@ -151,10 +158,10 @@
         body: { error: refusal.error },
       });
     }
-    await this.run({ incoming, body }, response);
+    await this.executeRequest({ incoming, body }, response);
   }
 
-  private serveControl(
+  private handleControl(
     url: string,
     context: { body: Buffer; response: ServerResponse },
   ): void {
@@ -184,32 +191,32 @@
     return this.options.checksFencing ? this.checkFencing(incoming) : undefined;
   }
 
-  /** Refuses a token below the highest one seen, and any grant that has expired. */
+  /** Refuses a token below the highest one seen for its partition, and a grant that has expired. */
   private checkFencing(incoming: IncomingMessage): Refusal | undefined {
     const partition = Number(incoming.headers[HEADERS.partition]);
     const token = Number(incoming.headers[HEADERS.fencingToken]);
-    const expires = Number(incoming.headers[HEADERS.grantExpires]);
-    const highest = this.highestTokens.get(partition) ?? 0;
-    if (!(token >= highest)) {
+    const expiresAtMs = Number(incoming.headers[HEADERS.grantExpires]);
+    const highestToken = this.highestTokens.get(partition) ?? 0;
+    if (!(token >= highestToken)) {
       return {
         status: 412,
-        error: `fencing token ${token} is below ${highest}`,
+        error: `fencing token ${token} is below ${highestToken}`,
         fenced: true,
       };
     }
-    if (!(Number(process.hrtime.bigint() / 1_000_000n) < expires)) {
+    if (!(Number(process.hrtime.bigint() / 1_000_000n) < expiresAtMs)) {
       return { status: 412, error: "the grant has expired", fenced: true };
     }
     this.highestTokens.set(partition, token);
     return undefined;
   }
 
-  private async run(
+  private async executeRequest(
     request: { incoming: IncomingMessage; body: Buffer },
     response: ServerResponse,
   ): Promise<void> {
     const { incoming, body } = request;
-    const run = this.writeRun(incoming);
+    const run = this.recordRun(incoming);
     response.on("close", () => {
       run.state = response.writableFinished ? "finished" : "cancelled";
     });
@@ -220,7 +227,7 @@
     if (response.destroyed) {
       return;
     }
-    const answer = JSON.stringify({
+    const responseBody = JSON.stringify({
       request_id: run.requestId,
       url: run.url,
       served_by: this.options.host,
@@ -231,7 +238,7 @@
     });
     response.writeHead(incoming.method === "POST" ? 201 : 200, {
       "content-type": "application/json",
-      "content-length": Buffer.byteLength(answer),
+      "content-length": Buffer.byteLength(responseBody),
     });
     if (this.faults.cut_answers > 0) {
       this.faults = {
@@ -239,15 +246,15 @@
         cut_answers: this.faults.cut_answers - 1,
       };
       response.write(
-        answer.slice(0, answer.length / 2),
+        responseBody.slice(0, responseBody.length / 2),
         () => response.socket?.destroy(),
       );
       return;
     }
-    response.end(answer);
+    response.end(responseBody);
   }
 
-  private writeRun(incoming: IncomingMessage): Run {
+  private recordRun(incoming: IncomingMessage): Run {
     const run: Run = {
       requestId: String(incoming.headers[HEADERS.requestId] ?? ""),
       idempotencyKey: String(incoming.headers[HEADERS.idempotencyKey] ?? ""),
@@ -258,7 +265,7 @@
       state: "running",
     };
     this.ledger.push(run);
-    if (this.ledger.length > LEDGER_LIMIT) {
+    if (this.ledger.length > MAX_LEDGER_RUNS) {
       this.ledger.shift();
     }
     return run;
@@ -275,8 +282,8 @@
 
 function sendJson(
   response: ServerResponse,
-  answer: { status: number; body: unknown },
+  content: { status: number; body: unknown },
 ): void {
-  response.writeHead(answer.status, { "content-type": "application/json" });
-  response.end(JSON.stringify(answer.body));
+  response.writeHead(content.status, { "content-type": "application/json" });
+  response.end(JSON.stringify(content.body));
 }
--- a/packages/backend_standin/src/main.ts
+++ b/packages/backend_standin/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `bamboolink-backend-standin`: the backend server stand-in as a process.
+ * Command `bamboolink-backend-standin`: runs a stand-in for a backend server until SIGTERM or SIGINT.
  *
  * @module
  */
@@ -10,25 +10,25 @@
 import { BackendStandin } from "./backend_standin.ts";
 
 const Settings = z.strictObject({
-  host: z.string().min(1).describe("Name of the host, for answers."),
-  service: z.string().min(1).describe("The service that it belongs to."),
+  host: z.string().min(1).describe("Name of the host, returned in responses."),
+  service: z.string().min(1).describe("Service that the stand-in belongs to."),
   daemon: z.string().min(1).describe(
     "Admin address of the daemon on this host.",
   ),
   backend_port: z.coerce.number().int().min(0).max(65_535).default(0).describe(
-    "Port on loopback.",
+    "Port on loopback; 0 lets the system choose.",
   ),
   slots: z.coerce.number().int().min(1).default(6).describe(
-    "Requests that run at once.",
+    "Announced number of requests that run at once.",
   ),
   connections: z.coerce.number().int().min(1).default(130).describe(
-    "Connections that it accepts.",
+    "Announced maximum number of connections.",
   ),
   checks_fencing: z.enum(["true", "false"]).default("true").describe(
-    "Whether it checks grants.",
+    "Whether requests with a stale fencing token or an expired grant are refused.",
   ),
   service_ms: z.coerce.number().min(0).default(2).describe(
-    "How long a request takes, in milliseconds.",
+    "Processing time of a request in milliseconds.",
   ),
 });
 
--- a/packages/backend_standin/src/mod.ts
+++ b/packages/backend_standin/src/mod.ts
@@ -1,6 +1,6 @@
 /**
- * A small stand-in for a backend server, with a ledger of what ran. For tests, the quickstart and
- * measurements only.
+ * A small stand-in for a backend server, with a ledger of the requests that it ran. For tests, the quickstart
+ * and measurements only.
  *
  * @module
  */
