--- a/packages/backend_standin/src/backend_standin.ts
+++ b/packages/backend_standin/src/backend_standin.ts
@@ -78,8 +78,8 @@
   }
 
   /**
-   * Listens on loopback, starts to announce itself and returns the port; 0 lets the system choose one. Rejects where the
-   * port can't be bound.
+   * Listens on loopback, starts to announce itself and returns the port; 0 lets the system choose one. Rejects where
+   * the port can't be bound.
    */
   async listen(port: number): Promise<number> {
     await new Promise<void>((resolve, reject) => {
--- a/packages/load/src/load_report.ts
+++ b/packages/load/src/load_report.ts
@@ -5,7 +5,11 @@
  */
 import { build, type Histogram } from "hdr-histogram-js";
 
-/** Outcome of a request as seen by the caller. */
+/**
+ * Outcome of a request as seen by the caller: `cut` for an incomplete response or a failed connection, `crossed` for the
+ * response of another request, `unreachable` for a refused connection or a request that was not sent because too many
+ * were in flight.
+ */
 export type CallerOutcome =
   | "done"
   | "not_run"
--- a/packages/store_standin/src/memory_key_value_store.ts
+++ b/packages/store_standin/src/memory_key_value_store.ts
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Writes a record, or deletes it where `value` is undefined, if its revision equals `expectedRevision` (0 for a record
-   * that does not exist). Returns whether it did.
+   * Writes a record, or deletes it where `value` is undefined, if its revision equals `expectedRevision` (0 for a
+   * record that does not exist). Returns whether the revision was equal.
    */
   compareAndSwap(
     write: {
