--- a/scripts/bench/processor.mjs
+++ b/scripts/bench/processor.mjs
@@ -18,7 +18,7 @@
 import { Agent } from "undici";
 import {
   BackendStandin,
-  describeConfiguration,
+  encodeConfiguration,
   MetadataStandin,
 } from "../../platform/dist/testing/mod.js";
 
@@ -293,7 +293,7 @@
 async function startFleet(variant, { network, daemons }) {
   const folder = mkdtempSync(join(tmpdir(), "processor-"));
   const store = await MetadataStandin.create(`127.${network}.0.1`, STORE_PORT);
-  store.write("op/config", describeConfiguration(1));
+  store.write("op/config", encodeConfiguration(1));
   const hosts = await Promise.all(
     Array.from(
       { length: daemons },
--- a/soak/src/soak_run.ts
+++ b/soak/src/soak_run.ts
@@ -5,9 +5,9 @@
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import {
-  type AheadCaller,
-  describeConfiguration,
+  encodeConfiguration,
   type FleetHost,
+  type PipeliningCaller,
   PlatformFleet,
   STORE_PORT,
 } from "@bamboolink/platform/testing";
@@ -184,8 +184,8 @@
   private async callAhead(caller: number): Promise<void> {
     for (let count = caller; !this.isOver; count += 1) {
       const host = this.fleet.hosts[count % this.fleet.hosts.length]!;
-      const ahead = await this.fleet.openAhead(host).catch(() => undefined);
-      while (ahead !== undefined && !ahead.hasEnded && !this.isOver) {
+      const ahead = await this.fleet.openPipelined(host).catch(() => undefined);
+      while (ahead !== undefined && !ahead.isClosed && !this.isOver) {
         await ahead.send(["/plain/1", "/plain/2"]);
         await sleep(30);
       }
@@ -198,10 +198,12 @@
   }
 
   /** What was answered on one connection was asked there, each once and in order. */
-  private checkOrder({ answered, asked }: AheadCaller): void {
-    const expected = asked.slice(0, answered.length);
-    if (answered.join() !== expected.join()) {
-      this.broken.add(`${answered.join()} were answered to ${asked.join()}`);
+  private checkOrder({ answeredIds, sentIds }: PipeliningCaller): void {
+    const expected = sentIds.slice(0, answeredIds.length);
+    if (answeredIds.join() !== expected.join()) {
+      this.broken.add(
+        `${answeredIds.join()} were answered to ${sentIds.join()}`,
+      );
     }
   }
 
@@ -236,13 +238,22 @@
         await sleep(fault.forMs);
         return await this.replaceBackend(host, 100);
       case "lose_answers":
-        return await this.during(fault, (on) => host.backend.losesAnswers = on);
+        return await this.during(
+          fault,
+          (on) => host.backend.dropsResponses = on,
+        );
       case "store_down":
         return await this.during(fault, (on) => faults.isDown = on);
       case "store_slow":
-        return await this.during(fault, (on) => faults.slowMs = on ? 250 : 0);
+        return await this.during(
+          fault,
+          (on) => faults.responseDelayMs = on ? 250 : 0,
+        );
       case "store_loses_answers":
-        return await this.during(fault, (on) => faults.losesAnswers = on);
+        return await this.during(
+          fault,
+          (on) => faults.dropsWriteResponses = on,
+        );
       case "store_relay_silent":
         return await this.relayDuring(fault, "silent");
       case "store_relay_one_way":
@@ -251,7 +262,7 @@
         return await this.relayDuring(fault, "reset");
       case "store_goes_back":
         await this.during(fault, (on) => faults.isDown = on);
-        this.fleet.store.goBack(fault.forMs + LOST_MS);
+        this.fleet.store.rollBack(fault.forMs + LOST_MS);
         return;
       case "lethal_request":
         return await this.sendLethal();
@@ -259,7 +270,7 @@
         this.version += 1;
         this.fleet.store.write(
           "op/config",
-          describeConfiguration(this.version),
+          encodeConfiguration(this.version),
         );
     }
   }
@@ -268,8 +279,8 @@
   private async sendLethal(): Promise<void> {
     for (let count = 0; count < LETHAL_COUNT; count += 1) {
       this.fleet.hosts.forEach((host) => {
-        host.backend.lethalTarget = LETHAL_PATH;
-        host.backend.onLethal = () =>
+        host.backend.crashTarget = LETHAL_PATH;
+        host.backend.onTargetCrash = () =>
           void this.replaceBackend(host, LETHAL_AWAY_MS);
       });
       const host = this.fleet.hosts[count % this.fleet.hosts.length]!;
