--- a/packages/admission/src/backoff.ts
+++ b/packages/admission/src/backoff.ts
@@ -25,15 +25,15 @@
 
 /**
  * Delay after which a refused caller may retry, in milliseconds: the wait for the work ahead of it, but at least
- * `leastMs`, plus jitter of up to as long again.
+ * `minMs`, plus jitter of up to as long again.
  *
  * @param waitMs expected wait, in milliseconds.
  * @param options the minimum in milliseconds, and a random number from 0 up to 1.
  */
 export function retryAfterMs(
   waitMs: number,
-  options: { leastMs: number; random: number },
+  options: { minMs: number; random: number },
 ): number {
-  const base = Math.max(options.leastMs, waitMs);
+  const base = Math.max(options.minMs, waitMs);
   return Math.ceil(base * (1 + options.random));
 }
--- a/packages/admission/src/idempotency_ledger.ts
+++ b/packages/admission/src/idempotency_ledger.ts
@@ -10,7 +10,7 @@
  */
 
 /** A response that is kept for retries. */
-export interface StoredAnswer {
+export interface StoredResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Uint8Array;
@@ -20,7 +20,7 @@
 export type AttemptClaim =
   | { readonly kind: "run" }
   | { readonly kind: "running" }
-  | { readonly kind: "answer"; readonly answer: StoredAnswer }
+  | { readonly kind: "answer"; readonly response: StoredResponse }
   | {
     readonly kind: "unknown";
     readonly reason: "no_stored_answer" | "before_tenure" | "before_memory";
@@ -31,13 +31,13 @@
   readonly fingerprint: string;
   readonly claimedAtMs: number;
   state: "running" | "answered" | "unknown";
-  answer: StoredAnswer | undefined;
+  storedResponse: StoredResponse | undefined;
 }
 
 /** Limits of a ledger. */
 export interface IdempotencyLimits {
   /** Retention period of a request, in milliseconds. */
-  readonly memoryMs: number;
+  readonly retentionMs: number;
   /** Maximum number of requests that are kept. */
   readonly entries: number;
   /** Maximum difference between the wall clocks of callers and hosts, in milliseconds. */
@@ -71,15 +71,15 @@
    */
   claim(
     request: {
-      name: string;
+      idempotencyKey: string;
       fingerprint: string;
       firstSentMs: number;
       firstAttempt: boolean;
     },
-    at: { nowMs: number; tenureSinceMs: number },
+    at: { nowMs: number; leaseStartedAtMs: number },
   ): AttemptClaim {
     this.evictOld(at.nowMs);
-    const known = this.entries.get(request.name);
+    const known = this.entries.get(request.idempotencyKey);
     if (known !== undefined) {
       return claimForRetry(known, request.fingerprint);
     }
@@ -88,7 +88,7 @@
     }
     if (
       !request.firstAttempt &&
-      request.firstSentMs <= at.tenureSinceMs + this.limits.clockSkewMs
+      request.firstSentMs <= at.leaseStartedAtMs + this.limits.clockSkewMs
     ) {
       return { kind: "unknown", reason: "before_tenure" };
     }
@@ -96,24 +96,24 @@
       fingerprint: request.fingerprint,
       claimedAtMs: at.nowMs,
       state: "running",
-      answer: undefined,
+      storedResponse: undefined,
     };
-    this.entries.set(request.name, entry);
+    this.entries.set(request.idempotencyKey, entry);
     return { kind: "run" };
   }
 
   /** Stores the response of a request that ran; `undefined` marks its outcome as unknown. */
-  recordAnswer(name: string, answer: StoredAnswer | undefined): void {
+  recordResponse(name: string, answer: StoredResponse | undefined): void {
     const entry = this.entries.get(name);
     if (entry !== undefined) {
       entry.state = answer === undefined ? "unknown" : "answered";
-      entry.answer = answer;
+      entry.storedResponse = answer;
     }
   }
 
   /** Records that a request may or may not have run. */
   recordUnknown(name: string): void {
-    this.recordAnswer(name, undefined);
+    this.recordResponse(name, undefined);
   }
 
   /** Releases the claim of a request that certainly did not run, so that a retry may run. */
@@ -122,7 +122,7 @@
   }
 
   private evictOld(nowMs: number): void {
-    const cutoffMs = nowMs - this.limits.memoryMs;
+    const cutoffMs = nowMs - this.limits.retentionMs;
     // Entries are in the order of their claims, so the first one that is kept ends the search.
     for (const [name, entry] of this.entries) {
       const isFull = this.entries.size >= this.limits.entries;
@@ -148,7 +148,7 @@
   if (known.state === "running") {
     return { kind: "running" };
   }
-  return known.answer === undefined
+  return known.storedResponse === undefined
     ? { kind: "unknown", reason: "no_stored_answer" }
-    : { kind: "answer", answer: known.answer };
+    : { kind: "answer", response: known.storedResponse };
 }
--- a/packages/admission/src/idempotency_ledger_test.ts
+++ b/packages/admission/src/idempotency_ledger_test.ts
@@ -9,7 +9,7 @@
 import { IdempotencyLedger } from "./idempotency_ledger.ts";
 
 const SEED = 13;
-const LIMITS = { memoryMs: 1_000, entries: 4, clockSkewMs: 50 };
+const LIMITS = { retentionMs: 1_000, entries: 4, clockSkewMs: 50 };
 
 const event = fc.record({
   kind: fc.constantFrom(
@@ -33,20 +33,23 @@
         (events) => {
           let ledger = IdempotencyLedger.create(LIMITS);
           let nowMs = 10_000;
-          let tenureSinceMs = nowMs;
-          const sent: { name: string; firstSentMs: number }[] = [];
+          let leaseStartedAtMs = nowMs;
+          const sent: { idempotencyKey: string; firstSentMs: number }[] = [];
           const runs = new Map<string, number>();
           const claim = (
-            request: { name: string; firstSentMs: number },
+            request: { idempotencyKey: string; firstSentMs: number },
             firstAttempt: boolean,
           ) => {
             const claimed = ledger.claim({
               ...request,
-              fingerprint: request.name,
+              fingerprint: request.idempotencyKey,
               firstAttempt,
-            }, { nowMs, tenureSinceMs });
+            }, { nowMs, leaseStartedAtMs });
             if (claimed.kind === "run") {
-              runs.set(request.name, (runs.get(request.name) ?? 0) + 1);
+              runs.set(
+                request.idempotencyKey,
+                (runs.get(request.idempotencyKey) ?? 0) + 1,
+              );
             }
           };
           events.forEach(({ kind, elapsedMs, skewMs, choice }, index) => {
@@ -54,25 +57,27 @@
             const earlier = sent[choice % Math.max(1, sent.length)];
             if (kind === "send") {
               const request = {
-                name: `request-${index}`,
+                idempotencyKey: `request-${index}`,
                 firstSentMs: nowMs + skewMs,
               };
               sent.push(request);
               claim(request, true);
             } else if (kind === "change_owner") {
               ledger = IdempotencyLedger.create(LIMITS);
-              tenureSinceMs = nowMs + skewMs;
+              leaseStartedAtMs = nowMs + skewMs;
             } else if (earlier !== undefined && kind === "retry") {
               claim(earlier, false);
             } else if (earlier !== undefined) {
-              ledger.recordAnswer(
-                earlier.name,
+              ledger.recordResponse(
+                earlier.idempotencyKey,
                 kind === "answer"
                   ? { status: 201, headers: {}, body: new Uint8Array() }
                   : undefined,
               );
             }
-            runs.forEach((count, name) => expect(count, name).to.equal(1));
+            runs.forEach((count, idempotencyKey) =>
+              expect(count, idempotencyKey).to.equal(1)
+            );
           });
         },
       );
@@ -82,22 +87,22 @@
 
   describe("for a retry", () => {
     const request = {
-      name: "order",
+      idempotencyKey: "order",
       fingerprint: "a",
       firstSentMs: 2_000,
       firstAttempt: true,
     };
-    const at = { nowMs: 2_000, tenureSinceMs: 0 };
+    const at = { nowMs: 2_000, leaseStartedAtMs: 0 };
 
     it("returns the first response", () => {
       const ledger = IdempotencyLedger.create(LIMITS);
-      const answer = { status: 201, headers: {}, body: new Uint8Array([1]) };
+      const response = { status: 201, headers: {}, body: new Uint8Array([1]) };
       expect(ledger.claim(request, at).kind).to.equal("run");
       expect(ledger.claim(request, at).kind).to.equal("running");
-      ledger.recordAnswer("order", answer);
+      ledger.recordResponse("order", response);
       expect(ledger.claim(request, at)).to.deep.equal({
         kind: "answer",
-        answer,
+        response,
       });
     });
 
--- a/packages/admission/src/retry_budget.ts
+++ b/packages/admission/src/retry_budget.ts
@@ -21,7 +21,7 @@
   }
 
   /** Records a first attempt, which adds to the budget. */
-  noteRequest(): void {
+  recordRequest(): void {
     this.tokens = Math.min(MAX_TOKENS, this.tokens + this.ratio);
   }
 
--- a/packages/admission/src/retry_policy_test.ts
+++ b/packages/admission/src/retry_policy_test.ts
@@ -58,7 +58,7 @@
     it("allows retries for about a tenth of the requests over time", () => {
       const budget = RetryBudget.create(0.1);
       const retries = Array.from({ length: 10_000 }, () => {
-        budget.noteRequest();
+        budget.recordRequest();
         return budget.tryRetry();
       }).filter(Boolean).length;
       expect(retries).to.be.within(1_000, 1_010);
@@ -71,7 +71,7 @@
         fc.nat(10_000),
         fc.double({ min: 0, max: 0.999, noNaN: true }),
         (waitMs, random) => {
-          const delayMs = retryAfterMs(waitMs, { leastMs: 500, random });
+          const delayMs = retryAfterMs(waitMs, { minMs: 500, random });
           expect(delayMs).to.be.within(
             Math.max(500, waitMs),
             2 * Math.max(500, waitMs),
--- a/packages/admission/src/service_times.ts
+++ b/packages/admission/src/service_times.ts
@@ -5,7 +5,7 @@
  */
 
 /** Weight of the latest request in the moving averages (EWMA). */
-const LEARNING_RATE = 0.1;
+const EWMA_WEIGHT = 0.1;
 /**
  * Estimate for a kind of request without history, as a share of the time to its objective: operators set objectives at
  * about three times the typical duration. With a lower estimate, a server that has just started would be sent many more
@@ -86,7 +86,5 @@
 }
 
 function movingAverage(known: number | undefined, tookMs: number): number {
-  return known === undefined
-    ? tookMs
-    : known + LEARNING_RATE * (tookMs - known);
+  return known === undefined ? tookMs : known + EWMA_WEIGHT * (tookMs - known);
 }
--- a/packages/admission/src/slot_queue.ts
+++ b/packages/admission/src/slot_queue.ts
@@ -17,7 +17,7 @@
 }
 
 /** The decision on an offered request. */
-export type SlotVerdict =
+export type SlotDecision =
   | { readonly kind: "run" }
   | { readonly kind: "wait" }
   | {
@@ -108,10 +108,10 @@
   offer(
     request: SlotRequest,
     nowMs: number,
-  ): { verdict: SlotVerdict; displaced: readonly string[] } {
+  ): { decision: SlotDecision; displaced: readonly string[] } {
     if (this.running.size < this.limits.slots && this.waiting.length === 0) {
       this.running.add(request.id);
-      return { verdict: { kind: "run" }, displaced: [] };
+      return { decision: { kind: "run" }, displaced: [] };
     }
     const ahead = this.positionOf(request);
     const waitMs = this.expectedWaitMs(ahead);
@@ -120,13 +120,13 @@
         request.deadlineMs
     ) {
       return {
-        verdict: { kind: "refuse", reason: "too_late", waitMs },
+        decision: { kind: "refuse", reason: "too_late", waitMs },
         displaced: [],
       };
     }
     if (this.waiting.length < this.limits.length) {
       this.waiting.splice(ahead, 0, request);
-      return { verdict: { kind: "wait" }, displaced: [] };
+      return { decision: { kind: "wait" }, displaced: [] };
     }
     const last = this.waiting.at(-1);
     if (
@@ -134,13 +134,13 @@
       PRIORITY_ORDER[last.priority] <= PRIORITY_ORDER[request.priority]
     ) {
       return {
-        verdict: { kind: "refuse", reason: "queue_full", waitMs },
+        decision: { kind: "refuse", reason: "queue_full", waitMs },
         displaced: [],
       };
     }
     this.waiting.pop();
     this.waiting.splice(ahead, 0, request);
-    return { verdict: { kind: "wait" }, displaced: [last.id] };
+    return { decision: { kind: "wait" }, displaced: [last.id] };
   }
 
   /**
--- a/packages/admission/src/slot_queue_test.ts
+++ b/packages/admission/src/slot_queue_test.ts
@@ -54,11 +54,11 @@
                   priority,
                   deadlineMs: nowMs + timeoutMs,
                 };
-                const { verdict, displaced } = queue.offer(request, nowMs);
+                const { decision, displaced } = queue.offer(request, nowMs);
                 displaced.forEach(markEnded);
-                if (verdict.kind === "run") {
+                if (decision.kind === "run") {
                   running.add(request.id);
-                } else if (verdict.kind === "wait") {
+                } else if (decision.kind === "wait") {
                   waiting.set(request.id, request);
                 } else {
                   markEnded(request.id);
@@ -95,9 +95,9 @@
       const offer = (id: string, priority: "interactive" | "batch") =>
         queue.offer({ id, priority, deadlineMs: 1_000 }, 0);
       offer("running", "interactive");
-      expect(offer("report", "batch").verdict.kind).to.equal("wait");
+      expect(offer("report", "batch").decision.kind).to.equal("wait");
       expect(offer("quote", "interactive").displaced).to.deep.equal(["report"]);
-      expect(offer("late report", "batch").verdict).to.include({
+      expect(offer("late report", "batch").decision).to.include({
         kind: "refuse",
         reason: "queue_full",
       });
@@ -117,12 +117,12 @@
       ["a", "b", "c"].forEach((id) =>
         queue.offer({ id, priority: "interactive", deadlineMs: 1_000 }, 100)
       );
-      const { verdict } = queue.offer({
+      const { decision } = queue.offer({
         id: "late",
         priority: "interactive",
         deadlineMs: 300,
       }, 100);
-      expect(verdict).to.deep.equal({
+      expect(decision).to.deep.equal({
         kind: "refuse",
         reason: "too_late",
         waitMs: 300,
--- a/packages/daemon/src/backend_dispatcher.ts
+++ b/packages/daemon/src/backend_dispatcher.ts
@@ -91,11 +91,14 @@
     }
     const name = `${request.match.service.name}\n${request.match.key}\n${key}`;
     const claim = owner.session.idempotency.claim({
-      name,
+      idempotencyKey: name,
       fingerprint: fingerprintOf(request),
       firstSentMs,
       firstAttempt: request.headers[HEADERS.firstAttempt] === "1",
-    }, { nowMs, tenureSinceMs: owner.session.tenureSince(owner.assignment) });
+    }, {
+      nowMs,
+      leaseStartedAtMs: owner.session.tenureSince(owner.assignment),
+    });
     return claim.kind === "run"
       ? { kind: "claimed", name }
       : { kind: "refused", result: describeClaim(claim) };
@@ -227,9 +230,9 @@
     case "answer":
       return {
         kind: "answer",
-        status: claim.answer.status,
-        headers: { ...claim.answer.headers },
-        body: claim.answer.body,
+        status: claim.response.status,
+        headers: { ...claim.response.headers },
+        body: claim.response.body,
       };
     case "unknown":
       return unknown(
@@ -267,7 +270,7 @@
   try {
     const chunks = await result.body.toArray() as Buffer[];
     const body = Buffer.concat(chunks);
-    idempotency.recordAnswer(claim.name, {
+    idempotency.recordResponse(claim.name, {
       status: result.status,
       headers: result.headers,
       body,
--- a/packages/daemon/src/entrance.ts
+++ b/packages/daemon/src/entrance.ts
@@ -154,7 +154,7 @@
     request: RoutedRequest,
     forwarded: boolean,
   ): Promise<AttemptResult> {
-    this.budget.noteRequest();
+    this.budget.recordRequest();
     if (isTimeUp(request)) {
       return notRun("too_late", "the time was up before the first attempt");
     }
@@ -243,7 +243,7 @@
       retryAfterMs: retryAfterMs(
         result.kind === "not_run" ? result.waitMs : 0,
         {
-          leastMs: match?.service.queue.retry_after_ms ?? 1_000,
+          minMs: match?.service.queue.retry_after_ms ?? 1_000,
           random: this.context.randomness.next(),
         },
       ),
--- a/packages/daemon/src/own_session.ts
+++ b/packages/daemon/src/own_session.ts
@@ -30,7 +30,7 @@
   readonly releases = ReleaseLedger.create();
   /** Non-idempotent requests that this session ran. */
   readonly idempotency = IdempotencyLedger.create({
-    memoryMs: IDEMPOTENCY_MEMORY_MS,
+    retentionMs: IDEMPOTENCY_MEMORY_MS,
     entries: IDEMPOTENCY_ENTRIES,
     clockSkewMs: CLOCK_SKEW_MS,
   });
--- a/packages/daemon/src/slot_gate.ts
+++ b/packages/daemon/src/slot_gate.ts
@@ -49,7 +49,7 @@
 
   /** Waits for a slot. */
   enter(request: SlotRequest, signal: AbortSignal): Promise<GateOutcome> {
-    const { verdict, displaced } = this.queue.offer(request, monotonicMs());
+    const { decision, displaced } = this.queue.offer(request, monotonicMs());
     displaced.forEach((id) =>
       this.settle(id, {
         kind: "refuse",
@@ -57,8 +57,8 @@
         waitMs: this.fullWaitMs(),
       })
     );
-    if (verdict.kind !== "wait") {
-      return Promise.resolve(verdict);
+    if (decision.kind !== "wait") {
+      return Promise.resolve(decision);
     }
     return new Promise((resolve) => {
       const leave = () => {
