--- a/packages/admission/src/link_pacer.ts
+++ b/packages/admission/src/bandwidth_pacer.ts
@@ -22,7 +22,7 @@
 }
 
 /** Expected time until a response is sent completely, in milliseconds. */
-export interface LinkDelay {
+export interface TransmissionDelay {
   /** If it is on time: it is sent before late responses. */
   readonly onTimeMs: number;
   /** If it is late: it is sent after all others. */
@@ -30,7 +30,7 @@
 }
 
 /** Paces the writing of large responses to one link. */
-export class LinkPacer<QueuedResponse extends WaitingResponse> {
+export class BandwidthPacer<QueuedResponse extends WaitingResponse> {
   private waiting: QueuedResponse[] = [];
   private linkFreeAtMs = -Infinity;
 
@@ -43,8 +43,8 @@
    */
   static create<QueuedResponse extends WaitingResponse>(
     bytesPerSecond: number,
-  ): LinkPacer<QueuedResponse> {
-    return new LinkPacer(bytesPerSecond / 1_000);
+  ): BandwidthPacer<QueuedResponse> {
+    return new BandwidthPacer(bytesPerSecond / 1_000);
   }
 
   /** Number of waiting responses. */
@@ -94,7 +94,7 @@
    *
    * @param bytes its size, plus that of the responses that are being produced already.
    */
-  estimateDelay(bytes: number, nowMs: number): LinkDelay {
+  estimateDelay(bytes: number, nowMs: number): TransmissionDelay {
     const onTime = this.waiting.filter((response) =>
       this.isOnTime(response, nowMs)
     );
--- a/packages/admission/src/link_pacer_test.ts
+++ b/packages/admission/src/bandwidth_pacer_test.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { expect } from "chai";
-import { LinkPacer, type WaitingResponse } from "./link_pacer.ts";
+import { BandwidthPacer, type WaitingResponse } from "./bandwidth_pacer.ts";
 
 /** A link of 10.5 Mbit/s. */
 const BYTES_PER_SECOND = 1_312_500;
@@ -21,7 +21,7 @@
  * response was sent, and the longest time for which a small message would have waited behind the written data.
  */
 function simulate(responsesPerSecond: number, isPaced: boolean, forMs = 1_000) {
-  const pacer = LinkPacer.create<WaitingResponse>(
+  const pacer = BandwidthPacer.create<WaitingResponse>(
     isPaced ? BYTES_PER_SECOND : Infinity,
   );
   const sent: Sent[] = [];
@@ -48,7 +48,7 @@
   return { sent, maxWaitMs };
 }
 
-describe("LinkPacer", () => {
+describe("BandwidthPacer", () => {
   describe("when more large responses are produced than the link carries", () => {
     // Guards against small calls to a host running into their deadlines, and the host seeming unresponsive: when 20
     // responses of 94 kB are written per second to a link that carries 14, its buffers delay everything written later.
@@ -78,7 +78,7 @@
 
   describe("when a response is requested", () => {
     it("includes waiting responses, those being produced and the response itself in the estimate", () => {
-      const pacer = LinkPacer.create<WaitingResponse>(1_000_000);
+      const pacer = BandwidthPacer.create<WaitingResponse>(1_000_000);
       pacer.recordWritten(20_000, 0);
       // Already late, so a response that is on time is sent before it.
       pacer.add({ objectiveAtMs: 0, remainingBytes: 30_000 });
@@ -91,7 +91,7 @@
 
   describe("when responses wait", () => {
     it("sends the one with the earliest objective first", () => {
-      const pacer = LinkPacer.create<WaitingResponse>(1_000_000);
+      const pacer = BandwidthPacer.create<WaitingResponse>(1_000_000);
       pacer.add({ objectiveAtMs: 900, remainingBytes: 1 });
       pacer.add({ objectiveAtMs: 300, remainingBytes: 1 });
       expect(pacer.next(0)?.objectiveAtMs).to.equal(300);
@@ -100,7 +100,7 @@
 
   describe("of a link whose speed is not known", () => {
     it("delays nothing", () => {
-      const pacer = LinkPacer.create<WaitingResponse>(Infinity);
+      const pacer = BandwidthPacer.create<WaitingResponse>(Infinity);
       pacer.recordWritten(1e9, 0);
       expect(pacer.delayMs(0)).to.equal(0);
       expect(pacer.estimateDelay(1e9, 0)).to.deep.equal({
--- a/packages/admission/src/mod.ts
+++ b/packages/admission/src/mod.ts
@@ -5,15 +5,15 @@
  * @module
  */
 export {
+  type SlotDecision,
   SlotQueue,
   type SlotQueueLimits,
   type SlotRequest,
-  type SlotVerdict,
 } from "./slot_queue.ts";
 export {
   type AttemptClaim,
   IdempotencyLedger,
-  type StoredAnswer,
+  type StoredResponse,
 } from "./idempotency_ledger.ts";
 export { RetryBudget } from "./retry_budget.ts";
 export { backoffMs, retryAfterMs } from "./backoff.ts";
@@ -39,7 +39,7 @@
 export { createRetryAfterSampler } from "./retry_after_sampler.ts";
 export { ElapsedWaitEstimator } from "./elapsed_wait_estimator.ts";
 export {
-  type LinkDelay,
-  LinkPacer,
+  BandwidthPacer,
+  type TransmissionDelay,
   type WaitingResponse,
-} from "./link_pacer.ts";
+} from "./bandwidth_pacer.ts";
--- a/packages/router/src/link_server.ts
+++ b/packages/router/src/link_server.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { createServer, type Server, type Socket } from "node:net";
-import type { LinkDelay } from "@bamboolink/admission";
+import type { TransmissionDelay } from "@bamboolink/admission";
 import type { Logger } from "@bamboolink/logger";
 import type { ResponseSender } from "./response_sender.ts";
 import { Cancellation } from "./cancellation.ts";
@@ -226,7 +226,7 @@
  */
 function reserveLinkTime(
   request: RoutedRequest,
-  { onTimeMs, lateMs }: LinkDelay,
+  { onTimeMs, lateMs }: TransmissionDelay,
   now: { nowMs: number; serviceMs: number },
 ): RoutedRequest {
   if (lateMs === 0) {
--- a/packages/router/src/response_sender.ts
+++ b/packages/router/src/response_sender.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import {
-  type LinkDelay,
-  LinkPacer,
+  BandwidthPacer,
+  type TransmissionDelay,
   type WaitingResponse,
 } from "@bamboolink/admission";
 import type { FrameSocket } from "./frame_socket.ts";
@@ -26,7 +26,7 @@
 /** Share of the link's bandwidth for large responses; the rest is for small ones, requests and gossip. */
 const LARGE_RESPONSE_SHARE = 0.9;
 
-const NO_DELAY: LinkDelay = { onTimeMs: 0, lateMs: 0 };
+const NO_DELAY: TransmissionDelay = { onTimeMs: 0, lateMs: 0 };
 
 /** Where an outcome is sent, and its latency objective. */
 export interface ResponseTarget {
@@ -44,7 +44,7 @@
 
 /** Sends the outcomes of requests that one daemon runs for others. */
 export class ResponseSender {
-  private readonly pacer: LinkPacer<LargeResponse>;
+  private readonly pacer: BandwidthPacer<LargeResponse>;
   private readonly averageSizes = new Map<string, number>();
   /** Number of requests that are being run for other daemons, by route. */
   private readonly running = new Map<string, number>();
@@ -54,7 +54,9 @@
     linkBytesPerSecond: number,
     private readonly nowMs: () => number,
   ) {
-    this.pacer = LinkPacer.create(linkBytesPerSecond * LARGE_RESPONSE_SHARE);
+    this.pacer = BandwidthPacer.create(
+      linkBytesPerSecond * LARGE_RESPONSE_SHARE,
+    );
   }
 
   /**
@@ -80,7 +82,7 @@
   }
 
   /** Estimates how long a response of a route would take to be sent, in addition to the service time. */
-  estimateDelay(route: string): LinkDelay {
+  estimateDelay(route: string): TransmissionDelay {
     const size = this.averageSizes.get(route) ?? 0;
     if (size <= MAX_SMALL_BYTES) {
       return NO_DELAY;
