--- a/packages/connections/src/server_connections.ts
+++ b/packages/connections/src/caller_connections.ts
@@ -21,7 +21,7 @@
 const BAD_REQUEST = "400 Bad Request";
 
 /** Bytes that are not a request, or a request that ended before it was complete. */
-export interface UnreadableInput {
+export interface MalformedInput {
   /** Error code of the parser. */
   readonly code: string;
   /** How many earlier requests on the same connection are not fully answered yet. */
@@ -31,11 +31,11 @@
 /** Callbacks for events of connections. */
 export interface ConnectionListeners {
   /** Called once per connection. */
-  readonly onUnreadable?: (input: UnreadableInput) => void;
+  readonly onMalformedInput?: (input: MalformedInput) => void;
 }
 
 /** The connections of one HTTP server. */
-export class ServerConnections {
+export class CallerConnections {
   private readonly connections = new Map<Socket, CallerConnection>();
 
   private constructor(
@@ -57,8 +57,8 @@
   static create(
     server: Server,
     listeners: ConnectionListeners = {},
-  ): ServerConnections {
-    return new ServerConnections(server, listeners);
+  ): CallerConnections {
+    return new CallerConnections(server, listeners);
   }
 
   /** How many connections have a request, a response or bytes in flight. */
@@ -128,7 +128,7 @@
     const { pendingResponses } = connection;
     const status = UNREADABLE_STATUSES[code] ?? BAD_REQUEST;
     if (connection.rejectUnreadable(status)) {
-      this.listeners.onUnreadable?.({ code, pendingResponses });
+      this.listeners.onMalformedInput?.({ code, pendingResponses });
     }
   }
 
--- a/packages/connections/src/server_connections_test.ts
+++ b/packages/connections/src/caller_connections_test.ts
@@ -13,9 +13,9 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "chai";
 import {
-  ServerConnections,
-  type UnreadableInput,
-} from "./server_connections.ts";
+  CallerConnections,
+  type MalformedInput,
+} from "./caller_connections.ts";
 
 /** More than is received for a caller that does not read, and less than the operating system buffers, in bytes. */
 const RESPONSE_BYTES = 1_000_000;
@@ -96,19 +96,19 @@
   return `${method} ${path} HTTP/1.1\r\nhost: shop.example\r\ncontent-length: ${bytes}\r\n\r\n`;
 }
 
-describe("ServerConnections", function () {
+describe("CallerConnections", function () {
   this.timeout(10_000);
   let server: Server;
-  let connections: ServerConnections;
+  let connections: CallerConnections;
   let handle: Handle;
   let caller: Caller;
-  let unreadable: UnreadableInput[];
+  let unreadable: MalformedInput[];
 
   beforeEach(async () => {
     unreadable = [];
     server = createServer((incoming, response) => handle(incoming, response));
-    connections = ServerConnections.create(server, {
-      onUnreadable: (input) => unreadable.push(input),
+    connections = CallerConnections.create(server, {
+      onMalformedInput: (input) => unreadable.push(input),
     });
     await new Promise<void>((resolve) =>
       server.listen(0, "127.0.0.1", resolve)
--- a/packages/connections/src/mod.ts
+++ b/packages/connections/src/mod.ts
@@ -4,7 +4,7 @@
  * @module
  */
 export {
+  CallerConnections,
   type ConnectionListeners,
-  ServerConnections,
-  type UnreadableInput,
-} from "./server_connections.ts";
+  type MalformedInput,
+} from "./caller_connections.ts";
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -10,7 +10,7 @@
   type ServerHttp2Session,
 } from "node:http2";
 import { setTimeout as sleep } from "node:timers/promises";
-import { ServerConnections } from "@bamboolink/connections";
+import { CallerConnections } from "@bamboolink/connections";
 import { BamboolinkError } from "@bamboolink/errors";
 import { Logger } from "@bamboolink/logger";
 import { Metrics } from "@bamboolink/metrics";
@@ -75,7 +75,7 @@
   private readonly entrance: Entrance;
   private readonly admin: AdminServer;
   private readonly dataServer: Server;
-  private readonly connections: ServerConnections;
+  private readonly connections: CallerConnections;
   private readonly controlServer: Http2Server;
   private readonly controlSessions = new Set<ServerHttp2Session>();
   private loop: NodeJS.Timeout | undefined;
@@ -181,7 +181,7 @@
       response.shouldKeepAlive &&= !this.stopping;
       void this.entrance.serve(incoming, response);
     });
-    this.connections = ServerConnections.create(this.dataServer);
+    this.connections = CallerConnections.create(this.dataServer);
     this.controlServer = createHttp2Server(connectNodeAdapter({
       routes: createPeerRoutes({
         fleet,
--- a/packages/router/src/ingress.ts
+++ b/packages/router/src/ingress.ts
@@ -15,8 +15,8 @@
   ElapsedWaitEstimator,
 } from "@bamboolink/admission";
 import {
-  ServerConnections,
-  type UnreadableInput,
+  CallerConnections,
+  type MalformedInput,
 } from "@bamboolink/connections";
 import type { Logger } from "@bamboolink/logger";
 import type { Metrics } from "@bamboolink/metrics";
@@ -108,7 +108,7 @@
   private readonly lastSequenceNumbers = new WeakMap<Socket, number>();
   /** Connections on which a request was received before. */
   private readonly usedSockets = new WeakSet<Socket>();
-  private readonly connections: ServerConnections;
+  private readonly connections: CallerConnections;
   private active = 0;
   private isStopping = false;
 
@@ -120,8 +120,8 @@
       keepAliveTimeout: INITIAL_LIMITS.idleTimeoutMs,
       requestTimeout: 0,
     }, (incoming, response) => void this.serve(incoming, response));
-    this.connections = ServerConnections.create(this.server, {
-      onUnreadable: (input) => this.logUnreadable(input),
+    this.connections = CallerConnections.create(this.server, {
+      onMalformedInput: (input) => this.logUnreadable(input),
     });
   }
 
@@ -266,7 +266,7 @@
     this.refuse(response, outcome, request);
   }
 
-  private logUnreadable({ code, pendingResponses }: UnreadableInput): void {
+  private logUnreadable({ code, pendingResponses }: MalformedInput): void {
     const { logger, metrics } = this.context;
     logger.log("caller_bytes_unreadable", {
       code,
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -7,7 +7,7 @@
 import type { Server as ConnectionServer } from "node:net";
 import { setTimeout as sleep } from "node:timers/promises";
 import { FleetRetryBudget } from "@bamboolink/admission";
-import { ServerConnections } from "@bamboolink/connections";
+import { CallerConnections } from "@bamboolink/connections";
 import { BamboolinkError } from "@bamboolink/errors";
 import {
   GrantTracker,
@@ -124,7 +124,7 @@
   private readonly ingress: Ingress;
   private readonly linkServer: LinkServer;
   private readonly peerServer: PeerServer;
-  private readonly peerConnections: ServerConnections;
+  private readonly peerConnections: CallerConnections;
   private readonly heartbeatServer: Server;
   private readonly readinessServer: Server;
   private readonly watcher: StoreWatcher;
@@ -321,7 +321,7 @@
       directory: this.directory,
       store: this.directStore,
     });
-    this.peerConnections = ServerConnections.create(this.peerServer.server);
+    this.peerConnections = CallerConnections.create(this.peerServer.server);
     this.heartbeatServer = createHeartbeatServer({
       backendManager: this.backendManager,
       protocol: ports.backends,
