--- a/packages/quarantine/src/lost_runs.ts
+++ b/packages/quarantine/src/interrupted_runs.ts
@@ -14,14 +14,14 @@
 const MAX_RUNS = 64;
 
 /** A request whose connection to the backend server broke before its response was complete. */
-export interface LostRun {
+export interface InterruptedRun {
   readonly requestId: string;
   /** Identifies the request by its content. */
   readonly fingerprint: string;
   /** Whether it ran as the only suspect on that server. */
   readonly isOnProbation: boolean;
   /** When the connection broke, on the daemon's clock. */
-  readonly lostAtMs: number;
+  readonly interruptedAtMs: number;
 }
 
 /**
@@ -30,37 +30,37 @@
  * A connection also breaks when the network resets it or the server aborts a response; other requests are still
  * answered after that.
  */
-export class LostRuns {
-  private runs: LostRun[] = [];
+export class InterruptedRuns {
+  private runs: InterruptedRun[] = [];
 
   private constructor() {}
 
   /** Creates an empty collection. */
-  static create(): LostRuns {
-    return new LostRuns();
+  static create(): InterruptedRuns {
+    return new InterruptedRuns();
   }
 
   /** Records a run whose connection broke. */
-  recordLost(run: LostRun): void {
+  recordInterrupted(run: InterruptedRun): void {
     this.runs = [...this.runs, run].slice(-MAX_RUNS);
   }
 
   /** Records a response: the server has survived the runs that were lost well before it. */
   recordAnswered(nowMs: number): void {
-    this.runs = this.runs.filter(({ lostAtMs }) =>
-      nowMs - lostAtMs <= SAME_CRASH_WINDOW_MS
+    this.runs = this.runs.filter(({ interruptedAtMs }) =>
+      nowMs - interruptedAtMs <= SAME_CRASH_WINDOW_MS
     );
   }
 
   /** Returns the runs that were lost when the server crashed, and clears the collection. */
-  takeRunsAtCrash(nowMs: number): readonly LostRun[] {
+  takeRunsAtCrash(nowMs: number): readonly InterruptedRun[] {
     const { runs } = this;
-    const lastLostAtMs = runs.at(-1)?.lostAtMs ?? -Infinity;
+    const lastLostAtMs = runs.at(-1)?.interruptedAtMs ?? -Infinity;
     this.runs = [];
     return nowMs - lastLostAtMs > MAX_PROOF_DELAY_MS
       ? []
-      : runs.filter(({ lostAtMs }) =>
-        lastLostAtMs - lostAtMs <= SAME_CRASH_WINDOW_MS
+      : runs.filter(({ interruptedAtMs }) =>
+        lastLostAtMs - interruptedAtMs <= SAME_CRASH_WINDOW_MS
       );
   }
 }
--- a/packages/quarantine/src/lost_runs_test.ts
+++ b/packages/quarantine/src/interrupted_runs_test.ts
@@ -4,46 +4,49 @@
  * @module
  */
 import { expect } from "chai";
-import { LostRuns } from "./lost_runs.ts";
+import { InterruptedRuns } from "./interrupted_runs.ts";
 import { fingerprintRequest } from "./request_fingerprint.ts";
 
-const createRun = (requestId: string, lostAtMs: number) => ({
+const createRun = (requestId: string, interruptedAtMs: number) => ({
   requestId,
   fingerprint: `f-${requestId}`,
   isOnProbation: false,
-  lostAtMs,
+  interruptedAtMs,
 });
 const idsOf = (runs: readonly { requestId: string }[]) =>
   runs.map(({ requestId }) => requestId);
 
-describe("LostRuns", () => {
+describe("InterruptedRuns", () => {
   it("returns the runs that were lost together most recently", () => {
-    const lostRuns = LostRuns.create();
-    lostRuns.recordLost(createRun("reset", 1_000));
-    lostRuns.recordLost(createRun("a", 5_000));
-    lostRuns.recordLost(createRun("b", 5_004));
-    expect(idsOf(lostRuns.takeRunsAtCrash(5_200))).to.deep.equal(["a", "b"]);
-    expect(lostRuns.takeRunsAtCrash(5_300)).to.deep.equal([]);
+    const interruptedRuns = InterruptedRuns.create();
+    interruptedRuns.recordInterrupted(createRun("reset", 1_000));
+    interruptedRuns.recordInterrupted(createRun("a", 5_000));
+    interruptedRuns.recordInterrupted(createRun("b", 5_004));
+    expect(idsOf(interruptedRuns.takeRunsAtCrash(5_200))).to.deep.equal([
+      "a",
+      "b",
+    ]);
+    expect(interruptedRuns.takeRunsAtCrash(5_300)).to.deep.equal([]);
   });
 
   it("leaves out a run that the server has survived", () => {
-    const lostRuns = LostRuns.create();
-    lostRuns.recordLost(createRun("broken_off", 1_000));
-    lostRuns.recordAnswered(1_150);
-    expect(lostRuns.takeRunsAtCrash(2_000)).to.deep.equal([]);
+    const interruptedRuns = InterruptedRuns.create();
+    interruptedRuns.recordInterrupted(createRun("broken_off", 1_000));
+    interruptedRuns.recordAnswered(1_150);
+    expect(interruptedRuns.takeRunsAtCrash(2_000)).to.deep.equal([]);
   });
 
   it("keeps runs if a response that was sent before the crash is read with their loss", () => {
-    const lostRuns = LostRuns.create();
-    lostRuns.recordLost(createRun("a", 1_000));
-    lostRuns.recordAnswered(1_002);
-    expect(idsOf(lostRuns.takeRunsAtCrash(1_300))).to.deep.equal(["a"]);
+    const interruptedRuns = InterruptedRuns.create();
+    interruptedRuns.recordInterrupted(createRun("a", 1_000));
+    interruptedRuns.recordAnswered(1_002);
+    expect(idsOf(interruptedRuns.takeRunsAtCrash(1_300))).to.deep.equal(["a"]);
   });
 
   it("leaves out a run that was lost long before the crash", () => {
-    const lostRuns = LostRuns.create();
-    lostRuns.recordLost(createRun("a", 1_000));
-    expect(lostRuns.takeRunsAtCrash(60_000)).to.deep.equal([]);
+    const interruptedRuns = InterruptedRuns.create();
+    interruptedRuns.recordInterrupted(createRun("a", 1_000));
+    expect(interruptedRuns.takeRunsAtCrash(60_000)).to.deep.equal([]);
   });
 });
 
--- a/packages/quarantine/src/mod.ts
+++ b/packages/quarantine/src/mod.ts
@@ -4,7 +4,7 @@
  * @module
  */
 export { chooseProbationDaemon } from "./choose_probation_daemon.ts";
-export { type LostRun, LostRuns } from "./lost_runs.ts";
+export { type InterruptedRun, InterruptedRuns } from "./interrupted_runs.ts";
 export { ProbationQueue } from "./probation_queue.ts";
 export { RecentResponses } from "./recent_responses.ts";
 export {
--- a/packages/quarantine/src/poison_request_tracker.ts
+++ b/packages/quarantine/src/poison_request_tracker.ts
@@ -10,7 +10,7 @@
  *
  * @module
  */
-import type { LostRun } from "./lost_runs.ts";
+import type { InterruptedRun } from "./interrupted_runs.ts";
 
 /** How a request may be run. */
 export type RequestClassification =
@@ -38,7 +38,7 @@
   /** Unique among all daemons, so that a crash counts once however often it is reported. */
   readonly id: number;
   /** The requests that the server was running when it crashed. */
-  readonly runs: readonly LostRun[];
+  readonly runs: readonly InterruptedRun[];
 }
 
 /** What a crash changed. */
@@ -211,7 +211,7 @@
    * probation if it was started before it became a suspect.
    */
   private findProvenFingerprint(
-    runs: readonly LostRun[],
+    runs: readonly InterruptedRun[],
     nowMs: number,
   ): string | undefined {
     const onProbation = runs.find(({ isOnProbation }) => isOnProbation)
@@ -342,6 +342,6 @@
   return Math.min(MAX_QUARANTINE_MS, durationMs);
 }
 
-function uniqueFingerprints(runs: readonly LostRun[]): string[] {
+function uniqueFingerprints(runs: readonly InterruptedRun[]): string[] {
   return [...new Set(runs.map(({ fingerprint }) => fingerprint))];
 }
--- a/packages/quarantine/src/poison_request_tracker_test.ts
+++ b/packages/quarantine/src/poison_request_tracker_test.ts
@@ -6,7 +6,7 @@
 import { expect } from "chai";
 import fc from "fast-check";
 import { chooseProbationDaemon } from "./choose_probation_daemon.ts";
-import type { LostRun } from "./lost_runs.ts";
+import type { InterruptedRun } from "./interrupted_runs.ts";
 import { ProbationQueue } from "./probation_queue.ts";
 import { PoisonRequestTracker } from "./poison_request_tracker.ts";
 
@@ -14,16 +14,19 @@
 const SECOND_MS = 1_000;
 const MINUTE_MS = 60_000;
 
-const createRun = (fingerprint: string, isOnProbation = false): LostRun => ({
+const createRun = (
+  fingerprint: string,
+  isOnProbation = false,
+): InterruptedRun => ({
   requestId: `id-${fingerprint}`,
   fingerprint,
   isOnProbation,
-  lostAtMs: 0,
+  interruptedAtMs: 0,
 });
 
 let lastCrashId = 0;
 /** A server crash with a unique id. */
-function createCrash(...runs: LostRun[]) {
+function createCrash(...runs: InterruptedRun[]) {
   lastCrashId += 1;
   return { id: lastCrashId, runs };
 }
--- a/packages/router/src/request_quarantine.ts
+++ b/packages/router/src/request_quarantine.ts
@@ -8,7 +8,7 @@
   chooseProbationDaemon,
   type CrashReport,
   fingerprintRequest,
-  LostRuns,
+  InterruptedRuns,
   PoisonRequestTracker,
   RecentResponses,
   type RequestClassification,
@@ -50,7 +50,7 @@
 
 /** One daemon's state of the requests that are suspected of crashing backend servers or quarantined. */
 export class RequestQuarantine {
-  private readonly lostRuns = LostRuns.create();
+  private readonly lostRuns = InterruptedRuns.create();
   private readonly recentResponses = RecentResponses.create();
   private readonly tracker: PoisonRequestTracker;
   /** Cached fingerprints of requests in flight: each request is classified several times. */
@@ -139,11 +139,11 @@
       // The process had crashed before, so it can't have crashed under this request.
       return;
     }
-    this.lostRuns.recordLost({
+    this.lostRuns.recordInterrupted({
       requestId: request.id,
       fingerprint: this.fingerprintOf(request),
       isOnProbation,
-      lostAtMs: this.context.nowMs(),
+      interruptedAtMs: this.context.nowMs(),
     });
   }
 
