--- a/packages/quarantine/src/choose_probation_daemon.ts
+++ b/packages/quarantine/src/choose_probation_daemon.ts
@@ -18,12 +18,12 @@
   addresses: readonly string[],
 ): string | undefined {
   const [first] = addresses
-    .map((address) => ({ address, rank: rankOf(fingerprint, address) }))
-    .sort((left, right) => left.rank < right.rank ? -1 : 1);
+    .map((address) => ({ address, hash: hashOf(fingerprint, address) }))
+    .sort((left, right) => left.hash < right.hash ? -1 : 1);
   return first?.address;
 }
 
-function rankOf(fingerprint: string, address: string): string {
+function hashOf(fingerprint: string, address: string): string {
   return createHash("sha256").update(`${fingerprint} ${address}`)
     .digest("base64url");
 }
--- a/packages/quarantine/src/interrupted_runs.ts
+++ b/packages/quarantine/src/interrupted_runs.ts
@@ -1,6 +1,9 @@
 /**
  * Collects the requests that a backend server was running when it crashed.
  *
+ * A run is one execution of a request by a backend server. It is interrupted if its connection breaks before its
+ * response is complete.
+ *
  * @module
  */
 
@@ -13,19 +16,20 @@
 const MAX_PROOF_DELAY_MS = 10_000;
 const MAX_RUNS = 64;
 
-/** A request whose connection to the backend server broke before its response was complete. */
+/** A run whose connection to the backend server broke before its response was complete. */
 export interface InterruptedRun {
   readonly requestId: string;
   /** Identifies the request by its content. */
   readonly fingerprint: string;
-  /** Whether it ran as the only suspect on that server. */
+  /** Whether the request ran as the only suspect on that server. */
   readonly isOnProbation: boolean;
   /** When the connection broke, on the daemon's clock. */
   readonly interruptedAtMs: number;
 }
 
 /**
- * Lost runs of one backend server for which it is not known yet whether the server crashed or only a connection broke.
+ * Interrupted runs of one backend server for which it is not known yet whether the server crashed or only a connection
+ * broke.
  *
  * A connection also breaks when the network resets it or the server aborts a response; other requests are still
  * answered after that.
@@ -40,27 +44,27 @@
     return new InterruptedRuns();
   }
 
-  /** Records a run whose connection broke. */
+  /** Records an interrupted run. */
   recordInterrupted(run: InterruptedRun): void {
     this.runs = [...this.runs, run].slice(-MAX_RUNS);
   }
 
-  /** Records a response: the server has survived the runs that were lost well before it. */
+  /** Records a response: the server has survived the runs that were interrupted well before it. */
   recordAnswered(nowMs: number): void {
     this.runs = this.runs.filter(({ interruptedAtMs }) =>
       nowMs - interruptedAtMs <= SAME_CRASH_WINDOW_MS
     );
   }
 
-  /** Returns the runs that were lost when the server crashed, and clears the collection. */
+  /** Returns the runs that were interrupted when the server crashed, and clears the collection. */
   takeRunsAtCrash(nowMs: number): readonly InterruptedRun[] {
     const { runs } = this;
-    const lastLostAtMs = runs.at(-1)?.interruptedAtMs ?? -Infinity;
+    const lastInterruptedAtMs = runs.at(-1)?.interruptedAtMs ?? -Infinity;
     this.runs = [];
-    return nowMs - lastLostAtMs > MAX_PROOF_DELAY_MS
+    return nowMs - lastInterruptedAtMs > MAX_PROOF_DELAY_MS
       ? []
       : runs.filter(({ interruptedAtMs }) =>
-        lastLostAtMs - interruptedAtMs <= SAME_CRASH_WINDOW_MS
+        lastInterruptedAtMs - interruptedAtMs <= SAME_CRASH_WINDOW_MS
       );
   }
 }
--- a/packages/quarantine/src/interrupted_runs_test.ts
+++ b/packages/quarantine/src/interrupted_runs_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of which runs count as lost in a crash of a backend server, and of request fingerprints.
+ * Tests of which runs count as interrupted by a crash of a backend server, and of request fingerprints.
  *
  * @module
  */
@@ -17,7 +17,7 @@
   runs.map(({ requestId }) => requestId);
 
 describe("InterruptedRuns", () => {
-  it("returns the runs that were lost together most recently", () => {
+  it("returns the runs that were interrupted together most recently", () => {
     const interruptedRuns = InterruptedRuns.create();
     interruptedRuns.recordInterrupted(createRun("reset", 1_000));
     interruptedRuns.recordInterrupted(createRun("a", 5_000));
@@ -36,14 +36,14 @@
     expect(interruptedRuns.takeRunsAtCrash(2_000)).to.deep.equal([]);
   });
 
-  it("keeps runs if a response that was sent before the crash is read with their loss", () => {
+  it("keeps runs if a response that was sent before the crash is read together with their interruption", () => {
     const interruptedRuns = InterruptedRuns.create();
     interruptedRuns.recordInterrupted(createRun("a", 1_000));
     interruptedRuns.recordAnswered(1_002);
     expect(idsOf(interruptedRuns.takeRunsAtCrash(1_300))).to.deep.equal(["a"]);
   });
 
-  it("leaves out a run that was lost long before the crash", () => {
+  it("leaves out a run that was interrupted long before the crash", () => {
     const interruptedRuns = InterruptedRuns.create();
     interruptedRuns.recordInterrupted(createRun("a", 1_000));
     expect(interruptedRuns.takeRunsAtCrash(60_000)).to.deep.equal([]);
--- a/packages/quarantine/src/mod.ts
+++ b/packages/quarantine/src/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Decides which requests are withheld from backend servers because servers crashed while running them. Pure.
+ * Decides which requests are withheld from backend servers because servers crashed while running them. No I/O: time and
+ * randomness are parameters.
  *
  * @module
  */
--- a/packages/quarantine/src/poison_request_tracker.ts
+++ b/packages/quarantine/src/poison_request_tracker.ts
@@ -5,8 +5,8 @@
  * not be withheld: they run concurrently with such a request, and servers also crash for other reasons.
  *
  * A request that was running when a server crashed is a suspect: until it is answered, it runs with no other suspect on
- * the same server. It is quarantined if another server crashes while it is the only suspect there, or if it is the only
- * request that was running at several crashes. A response clears it.
+ * the same server. It is quarantined if another server crashes while it is the only suspect there, or if it was running
+ * at several crashes and no other request was running at as many of them. A response clears it.
  *
  * @module
  */
@@ -49,7 +49,11 @@
   readonly cleared: readonly string[];
 }
 
-/** A request that alone was running at so many crashes is quarantined. Harmless requests are retried once at most. */
+/**
+ * A request is quarantined if it was running at this many crashes, and no other request was running at as many of them.
+ * In one attempt of its caller, a harmless request is retried at most once after a crash, so it is running at two
+ * crashes at most.
+ */
 const CRASHES_TO_QUARANTINE = 3;
 /** Upper bound on remembered crashes of one request. */
 const MAX_CRASHES = 16;
@@ -62,7 +66,7 @@
  * Jitter, as a share of the quarantine's length: daemons must not all end a quarantine at the same time and each lose a
  * server.
  */
-const MAX_JITTER_RATIO = 0.5;
+const MAX_JITTER_SHARE = 0.5;
 /** Suspects that do not occur again for this long are dropped. */
 const SUSPECT_TTL_MS = 60_000;
 /** A response protects a request from delayed crash reports for this long. */
@@ -83,7 +87,7 @@
 const CLEAR: RequestClassification = { kind: "clear" };
 const SUSPECT: RequestClassification = { kind: "suspect" };
 
-/** The suspects and quarantined requests known to one daemon. */
+/** The suspects and quarantined requests that one daemon tracks. */
 export class PoisonRequestTracker {
   private readonly entries = new Map<string, Entry>();
   /** When requests were last answered that are or may become suspects, by fingerprint. */
@@ -100,7 +104,7 @@
     return new PoisonRequestTracker(random);
   }
 
-  /** Whether there are no suspects, which is nearly always the case. */
+  /** Whether there are no suspects and no quarantined requests, which is nearly always the case. */
   get isEmpty(): boolean {
     return this.entries.size === 0;
   }
@@ -143,7 +147,7 @@
     ).forEach((fingerprint) => this.quarantine(fingerprint, nowMs));
     return {
       reports: fingerprints.flatMap((fingerprint) =>
-        this.describe(fingerprint, nowMs)
+        this.createReports(fingerprint, nowMs)
       ).map((report) => ({ ...report, crashes: [id] })),
       cleared: uniqueFingerprints(runs).filter((fingerprint) =>
         this.isCleared(fingerprint, nowMs)
@@ -178,7 +182,7 @@
     };
   }
 
-  /** Records that a server has answered a request; returns whether the request was a suspect. */
+  /** Records that a server has answered a request; returns whether the request was suspect or quarantined. */
   recordResponse(fingerprint: string, nowMs: number): boolean {
     this.setBounded(this.answeredAtMs, fingerprint, nowMs);
     return this.entries.delete(fingerprint);
@@ -187,7 +191,7 @@
   /** Returns all known quarantines, including expired ones, for daemons that have just started. */
   findQuarantines(nowMs: number): CrashReport[] {
     return [...this.entries.keys()]
-      .flatMap((fingerprint) => this.describe(fingerprint, nowMs))
+      .flatMap((fingerprint) => this.createReports(fingerprint, nowMs))
       .filter(({ quarantines }) => quarantines > 0);
   }
 
@@ -207,8 +211,9 @@
 
   /**
    * Returns the request that certainly crashed a server, if it was the only suspect there. Only one request runs on
-   * probation at a time, so one that was lost later was started after the crash. Another suspect may be running without
-   * probation if it was started before it became a suspect.
+   * probation at a time, so a second interrupted run on probation was started after the server had crashed, and only
+   * the first one counts. Another suspect may be running without probation if it was started before it became a
+   * suspect.
    */
   private findProvenFingerprint(
     runs: readonly InterruptedRun[],
@@ -269,8 +274,8 @@
     const countShared = (other: ReadonlySet<number>) =>
       [...crashes].filter((crash) => other.has(crash)).length;
     return crashes.size >= CRASHES_TO_QUARANTINE &&
-      ![...this.entries].some(([name, other]) =>
-        name !== fingerprint &&
+      ![...this.entries].some(([otherFingerprint, other]) =>
+        otherFingerprint !== fingerprint &&
         countShared(other.crashes) >= CRASHES_TO_QUARANTINE
       );
   }
@@ -293,7 +298,7 @@
   ): void {
     const { quarantines, expiresAtMs } = quarantine;
     const crashes = this.entries.get(fingerprint)?.crashes ?? new Set<number>();
-    const jitterMs = quarantineDurationMs(quarantines) * MAX_JITTER_RATIO *
+    const jitterMs = quarantineDurationMs(quarantines) * MAX_JITTER_SHARE *
       this.random();
     // The crashes of a request that occurs only rarely must still be counted when it occurs again.
     const forgetAtMs = expiresAtMs + SUSPECT_TTL_MS +
@@ -312,7 +317,7 @@
     return entry === undefined || entry.forgetAtMs <= nowMs ? undefined : entry;
   }
 
-  private describe(fingerprint: string, nowMs: number): CrashReport[] {
+  private createReports(fingerprint: string, nowMs: number): CrashReport[] {
     const entry = this.find(fingerprint, nowMs);
     return entry === undefined ? [] : [{
       fingerprint,
--- a/packages/quarantine/src/poison_request_tracker_test.ts
+++ b/packages/quarantine/src/poison_request_tracker_test.ts
@@ -94,8 +94,8 @@
     });
   });
 
-  // Guards against quarantining a popular request whose turn on probation came just after the server had crashed.
-  describe("when two suspects are lost one after the other at one crash", () => {
+  // Guards against quarantining a popular request that is started on probation just after the server has crashed.
+  describe("when the runs of two suspects are interrupted one after the other at one crash", () => {
     it("quarantines the first only", () => {
       const tracker = createTracker();
       tracker.recordCrash(
@@ -112,7 +112,7 @@
   });
 
   // Guards against quarantining a popular request when a copy of the lethal one, started before it became a suspect,
-  // ran at the same time.
+  // runs at the same time.
   describe("when a server crashes with one suspect on probation and a copy of another that is not", () => {
     it("quarantines neither, and the lethal one at the next crash", () => {
       const tracker = createTracker();
@@ -131,7 +131,8 @@
     });
   });
 
-  // Many copies of a lethal request may arrive before the first crash is known. None of them is on probation.
+  // Guards against a lethal request that is never quarantined: many copies of it may arrive before the first crash is
+  // known, and none of them is on probation.
   describe("when three servers have crashed while running one request", () => {
     it("quarantines it, whichever daemon reports the crashes", () => {
       const tracker = createTracker();
@@ -150,7 +151,8 @@
         .to.deep.equal(["lethal"]);
     });
 
-    // The report of a crash may arrive after the quarantine that it led to has expired.
+    // Guards against a second quarantine for the same crashes: the report of a crash may arrive after the quarantine
+    // that it led to has expired.
     it("does not quarantine it again for an earlier crash that is reported late", () => {
       const tracker = createTracker();
       const reportFields = {
@@ -171,7 +173,8 @@
       );
     });
 
-    // A popular request may also be running at each crash, before any server has answered it.
+    // Guards against quarantining a popular request: it may also be running at each crash, before any server has
+    // answered it.
     it("quarantines neither of two requests that were running at each crash", () => {
       const tracker = createTracker();
       const names = ["lethal", "popular"];
@@ -192,8 +195,8 @@
     });
   });
 
-  // Many servers may crash at once for other reasons. The requests that they were running are retried elsewhere
-  // once per attempt.
+  // Guards against quarantining harmless requests: many servers may crash at once for other reasons, and the requests
+  // that they were running are retried elsewhere, once per attempt of the caller.
   describe("when many servers crash at once", () => {
     it("quarantines no request that was running at one or two crashes", () => {
       const tracker = createTracker();
@@ -238,8 +241,8 @@
   });
 
   describe("when a quarantine has expired", () => {
-    // A quarantine without end would withhold a request from servers that have been fixed; one of constant length would
-    // cost a server at every expiry.
+    // Guards against withholding a request from servers that have been fixed, as a quarantine without end would, and
+    // against crashing a server at every expiry, as one of constant length would.
     it("runs it on probation, and makes the next quarantine four times as long", () => {
       const tracker = createTracker();
       const durations: number[] = [];
--- a/packages/quarantine/src/recent_responses.ts
+++ b/packages/quarantine/src/recent_responses.ts
@@ -17,8 +17,8 @@
  * The requests that one process of a backend server answered last. A request that the process has answered did not
  * crash it; without this, a popular request would become a suspect at every crash, because it is always in flight.
  *
- * Fingerprints are computed only after a crash: each costs a hash, which thousands of requests per second would pay for
- * an event that occurs once a day.
+ * Fingerprints are computed only after a crash: each costs a hash, and thousands of requests per second would pay that
+ * for an event that occurs about once a day.
  */
 export class RecentResponses {
   private contents: RequestContent[] = [];
