--- a/packages/connections/src/caller_connection.ts
+++ b/packages/connections/src/caller_connection.ts
@@ -1,5 +1,5 @@
 /**
- * One connection of an HTTP server, and how it is closed.
+ * A caller's connection to an HTTP server, and how it is closed.
  *
  * @module
  */
@@ -8,8 +8,8 @@
 
 /**
  * How long a connection is kept open after its last byte was handed to the operating system, in milliseconds, unless
- * the caller closes it first: four times the time that 100 kB take on a link of 10 Mbit/s. Many callers leave closing
- * to the server, so a stopping daemon is unavailable for this much longer.
+ * the caller closes it first: four times the time that 100 kB take on a network link of 10 Mbit/s. Many callers wait
+ * for the server to close the connection, so a stopping daemon is unavailable for this much longer.
  */
 const LINGER_TIMEOUT_MS = 300;
 
@@ -22,7 +22,7 @@
 /** How long the rest of a partial request is waited for, in milliseconds: a lost packet is retransmitted by then. */
 const STALL_TIMEOUT_MS = 1_000;
 
-/** One connection. */
+/** Tracks the requests and responses of one connection, and closes it without truncating a response. */
 export class CallerConnection {
   /** Responses not yet handed completely to the operating system, in the order of their requests. */
   private readonly openResponses = new Set<ServerResponse>();
@@ -39,12 +39,12 @@
     socket.destroySoon = () => this.end();
   }
 
-  /** Manages a connection that was just accepted. */
+  /** Manages a connection that was accepted at `nowMs`, in milliseconds on the clock of the other methods. */
   static create(socket: Socket, nowMs: number): CallerConnection {
     return new CallerConnection(socket, nowMs);
   }
 
-  /** Whether requests received from now on are not answered. */
+  /** Whether requests that are received from now on get no response. */
   get isEnding(): boolean {
     return this.hasLastResponse;
   }
@@ -106,31 +106,31 @@
   }
 
   /**
-   * Like `end`, but leaves what arrives from now on unread: its caller may then send it elsewhere, even if it must not
+   * Like `end`, but does not read what arrives from now on: the caller may then send it elsewhere, even if it must not
    * run twice.
    */
-  endUnread(): void {
+  endWithoutReading(): void {
     this.socket.pause();
     this.end();
   }
 
   /**
-   * Closes the connection because of bytes that the parser rejected. Requests before them are answered first, and the
-   * error status is not sent then: the caller would take it for the response to the first of them.
+   * Closes the connection because of bytes that the parser rejected. Requests before them are answered first. The error
+   * status is not sent in that case: the caller would match it to the first of these requests.
    *
    * @param status status code and reason phrase, such as `400 Bad Request`.
    * @returns whether these are the first such bytes; the parser reports each further chunk again.
    */
-  rejectUnreadable(status: string): boolean {
+  rejectMalformedInput(status: string): boolean {
     const isFirst = !this.hasRejected;
     this.hasRejected = true;
     if (isFirst) {
-      this.endUnreadable(status);
+      this.endAfterMalformedInput(status);
     }
     return isFirst;
   }
 
-  private endUnreadable(status: string): void {
+  private endAfterMalformedInput(status: string): void {
     const { socket } = this;
     const last = [...this.openResponses].at(-1);
     if (last === undefined) {
--- a/packages/connections/src/caller_connections.ts
+++ b/packages/connections/src/caller_connections.ts
@@ -13,14 +13,14 @@
 import { CallerConnection } from "./caller_connection.ts";
 
 /** Statuses for input that the parser rejects, by error code; others are `400 Bad Request`. */
-const UNREADABLE_STATUSES: Readonly<Record<string, string>> = {
+const MALFORMED_INPUT_STATUSES: Readonly<Record<string, string>> = {
   HPE_HEADER_OVERFLOW: "431 Request Header Fields Too Large",
   HPE_CHUNK_EXTENSIONS_OVERFLOW: "413 Payload Too Large",
   ERR_HTTP_REQUEST_TIMEOUT: "408 Request Timeout",
 };
 const BAD_REQUEST = "400 Bad Request";
 
-/** Bytes that are not a request, or a request that ended before it was complete. */
+/** Bytes that are not a valid request, or a request that ended before it was complete. */
 export interface MalformedInput {
   /** Error code of the parser. */
   readonly code: string;
@@ -30,11 +30,11 @@
 
 /** Callbacks for events of connections. */
 export interface ConnectionListeners {
-  /** Called once per connection. */
+  /** Called at most once per connection. */
   readonly onMalformedInput?: (input: MalformedInput) => void;
 }
 
-/** The connections of one HTTP server. */
+/** Tracks the connections of one HTTP server. */
 export class CallerConnections {
   private readonly connections = new Map<Socket, CallerConnection>();
 
@@ -49,11 +49,11 @@
     );
     server.on(
       "clientError",
-      (error, socket) => this.rejectUnreadable(error, socket as Socket),
+      (error, socket) => this.rejectMalformedInput(error, socket as Socket),
     );
   }
 
-  /** Tracks the connections of a server. Must be called after the server's request listener was added. */
+  /** Starts to track the connections of a server. Must be called after the server's request listener was added. */
   static create(
     server: Server,
     listeners: ConnectionListeners = {},
@@ -106,7 +106,7 @@
     const nowMs = performance.now();
     this.all
       .filter((connection) => !connection.isBusy(nowMs))
-      .forEach((connection) => connection.endUnread());
+      .forEach((connection) => connection.endWithoutReading());
   }
 
   private get all(): CallerConnection[] {
@@ -119,15 +119,18 @@
     socket.once("close", () => this.connections.delete(socket));
   }
 
-  private rejectUnreadable(error: NodeJS.ErrnoException, socket: Socket): void {
+  private rejectMalformedInput(
+    error: NodeJS.ErrnoException,
+    socket: Socket,
+  ): void {
     const connection = this.connections.get(socket);
     if (connection === undefined || socket.destroyed) {
       return;
     }
     const { code = error.message } = error;
     const { pendingResponses } = connection;
-    const status = UNREADABLE_STATUSES[code] ?? BAD_REQUEST;
-    if (connection.rejectUnreadable(status)) {
+    const status = MALFORMED_INPUT_STATUSES[code] ?? BAD_REQUEST;
+    if (connection.rejectMalformedInput(status)) {
       this.listeners.onMalformedInput?.({ code, pendingResponses });
     }
   }
--- a/packages/connections/src/caller_connections_test.ts
+++ b/packages/connections/src/caller_connections_test.ts
@@ -30,7 +30,7 @@
 
 type Handle = (incoming: IncomingMessage, response: ServerResponse) => void;
 
-/** A caller that reads only when the test tells it to. */
+/** A caller that reads only when the test calls one of its methods. */
 class Caller {
   bytes = 0;
   /** The first bytes received, as text. */
@@ -102,13 +102,13 @@
   let connections: CallerConnections;
   let handle: Handle;
   let caller: Caller;
-  let unreadable: MalformedInput[];
+  let malformedInputs: MalformedInput[];
 
   beforeEach(async () => {
-    unreadable = [];
+    malformedInputs = [];
     server = createServer((incoming, response) => handle(incoming, response));
     connections = CallerConnections.create(server, {
-      onMalformedInput: (input) => unreadable.push(input),
+      onMalformedInput: (input) => malformedInputs.push(input),
     });
     await new Promise<void>((resolve) =>
       server.listen(0, "127.0.0.1", resolve)
@@ -127,9 +127,9 @@
   });
 
   describe("with a request that has a body after the last response", () => {
-    // Guards against a truncated response: the body of a request after the last response was not read, and Node.js
-    // stops reading after 16 kB of an unread body. The caller's end of the connection was not seen, the connection was
-    // closed 1 s later with the rest of the body unread, and that reset discarded 804 of 1,000 kB of the response.
+    // Guards against a truncated response: the body of a request after the last response is not read, and Node.js stops
+    // reading after 16 kB of an unread body. That the caller has ended the connection is not detected, the connection
+    // is closed 1 s later with the rest of the body unread, and that reset discards 804 of 1,000 kB of the response.
     it("delivers the complete response", async () => {
       handle = (incoming, response) => {
         if (connections.discardAfterLastResponse(incoming)) {
@@ -156,8 +156,8 @@
 
   describe("with a response that was sent before the body of its request arrived", () => {
     // Guards against a connection that stays busy forever: a request rejected by its headers is answered while its body
-    // is still being sent. The body was counted as a partial further request, and a stopping daemon waited for the
-    // connection until its grace period expired.
+    // is still being sent. The body is counted as a partial further request, and a stopping daemon waits for the
+    // connection until its grace period expires.
     it("has nothing in flight once the body has arrived", async () => {
       let hasBodyArrived = false;
       handle = (incoming, response) => {
@@ -178,9 +178,9 @@
   });
 
   describe("with an idle connection whose caller sends again", () => {
-    // Guards against a truncated response: an idle connection was closed at once while its response was still being
-    // received by a slow caller. The caller's next, pipelined request reached a closed connection, and the reset
-    // discarded 804 of 1,000 kB of the response.
+    // Guards against a truncated response: an idle connection is closed at once while a slow caller is still receiving
+    // its response. The caller's next, pipelined request reaches a closed connection, and the reset discards 804 of
+    // 1,000 kB of the response.
     it("delivers the complete response", async () => {
       handle = (_incoming, response) => {
         response.writeHead(200, { "content-length": RESPONSE_BYTES });
@@ -203,9 +203,8 @@
   });
 
   describe("with a request after one that ends the connection", () => {
-    // Guards against running a request that its caller must assume unread: a stopping daemon marked the response of
-    // each request as the last one of its connection, and still ran requests that arrived before that response was
-    // sent. An order was run in this way.
+    // Guards against running a request that its caller must assume unread: a stopping daemon marks the response of each
+    // request as the last one of its connection, and still runs requests that arrive before that response is sent.
     it("does not run it", async () => {
       const handledResponses: ServerResponse[] = [];
       handle = (incoming, response) => {
@@ -232,9 +231,9 @@
   });
 
   describe("with a connection accepted just before the listener closes", () => {
-    // Guards against a request that is never answered: idle connections were ended in the same turn of the event loop
-    // in which the listener closed. A connection accepted in that turn, immediately followed by its request, was ended
-    // too, so the request was read on an ended connection. Node.js itself treats a connection as idle only after its
+    // Guards against a request that is never answered: idle connections are ended in the same turn of the event loop in
+    // which the listener closes. A connection accepted in that turn, immediately followed by its request, is ended,
+    // too, so the request is read on an ended connection. Node.js itself treats a connection as idle only after its
     // first request.
     it("answers its request", async () => {
       handle = (incoming, response) => {
@@ -274,7 +273,7 @@
       await until(() => handledResponses.length === 1);
       await caller.send(MALFORMED_BYTES);
       await caller.send(MALFORMED_BYTES);
-      await until(() => unreadable.length > 0);
+      await until(() => malformedInputs.length > 0);
       handledResponses[0]!.end("done");
       await caller.readToEnd();
       expect(caller.text).to.match(/^HTTP\/1\.1 200 OK\r\n/)
@@ -291,7 +290,7 @@
       await caller.send(createHeaders("GET", "/large", 0));
       await until(() => connections.busyCount === 1);
       await caller.send(MALFORMED_BYTES);
-      await until(() => unreadable.length > 0);
+      await until(() => malformedInputs.length > 0);
       await caller.readToEnd();
       expect(caller.bytes).to.be.greaterThan(UNSENT_BYTES);
     });
@@ -337,7 +336,7 @@
     // Guards against a request that is never answered because the end of its body can no longer arrive.
     it("answers 400 and closes", async () => {
       await caller.send(`${headers}no size\r\n`);
-      await until(() => unreadable.length > 0);
+      await until(() => malformedInputs.length > 0);
       await caller.readToEnd();
       expect(caller.text).to.match(/^HTTP\/1\.1 400 Bad Request\r\n/);
     });
@@ -345,7 +344,7 @@
     // Guards against a stopping daemon that waits for such a connection until its grace period expires.
     it("has nothing in flight afterwards", async () => {
       await caller.send(`${headers}no size\r\n`);
-      await until(() => unreadable.length > 0);
+      await until(() => malformedInputs.length > 0);
       await until(() => connections.busyCount === 0);
     });
 
@@ -353,7 +352,7 @@
     it("answers the request before it as the last one", async () => {
       await caller.send(createHeaders("GET", "/proper", 0));
       await caller.send(`${headers}no size\r\n`);
-      await until(() => unreadable.length > 0);
+      await until(() => malformedInputs.length > 0);
       await caller.readToEnd();
       expect(caller.text).to.match(/^HTTP\/1\.1 200 OK\r\n/);
     });
@@ -365,10 +364,10 @@
       handle = () => undefined;
       await caller.send(createHeaders("GET", "/proper", 0));
       await caller.send(MALFORMED_BYTES);
-      await until(() => unreadable.length > 0);
+      await until(() => malformedInputs.length > 0);
       await caller.send(MALFORMED_BYTES);
       await sleep(50);
-      expect(unreadable.map(({ code }) => code)).to.deep.equal([
+      expect(malformedInputs.map(({ code }) => code)).to.deep.equal([
         "HPE_INVALID_METHOD",
       ]);
     });
@@ -376,7 +375,7 @@
 
   describe("with a partial request of which no more arrives", () => {
     // Guards against a stopping daemon that is held up until its grace period expires by one caller that stopped in the
-    // middle of its headers: partial headers, or a stray line break after a request, kept a connection busy until its
+    // middle of its headers: partial headers, or a stray line break after a request, keep a connection busy until its
     // next response.
     it("closes it after a timeout", async () => {
       await caller.send("GET /part HTT");
--- a/packages/placement/src/choose_backend.ts
+++ b/packages/placement/src/choose_backend.ts
@@ -14,7 +14,10 @@
   readonly slots: number;
   /** Wait for a slot at the time of the report, in milliseconds. */
   readonly waitMs: number;
-  /** Offered work per slot, averaged over the last second; at 1 all slots are busy. */
+  /**
+   * Recent offered work per slot (half-life 1 s), or the used share of a cold server's rate limit if that is higher; 1
+   * is saturated.
+   */
   readonly utilization: number;
   /** Typical service time of this route there, in milliseconds; 0 if unknown. */
   readonly serviceMs: number;
@@ -39,8 +42,8 @@
 const CROSS_ZONE_PENALTY_MS = 20;
 /**
  * Penalty per kilobyte transferred between availability zones in the score, in milliseconds. Traffic between zones is
- * billed: a small response may come from anywhere, while a download of 90 KB stays in its zone unless it would wait
- * there for 180 ms longer.
+ * billed: a small response may come from anywhere, while a download of 90 KB, which costs 180 ms in addition to the
+ * fixed penalty, stays in its zone unless it would wait there for about 200 ms longer.
  */
 const CROSS_ZONE_MS_PER_KILOBYTE = 2;
 /**
@@ -53,7 +56,7 @@
 /**
  * Multiple of the service time that is added to the cost of a server, in proportion to its failure share beyond that of
  * the best server. A failing server still gets a few requests, which show when it has recovered. Where all servers fail
- * alike, for example because calls that they make are refused elsewhere, none of them is penalized.
+ * alike, for example because another service refuses the calls that they make, none of them is penalized.
  */
 const FAILURE_WEIGHT = 8;
 /**
@@ -66,7 +69,7 @@
 const MAX_UTILIZATION = 0.97;
 /**
  * Service time assumed for a server that has served no requests yet, as a share of that of the fastest other server.
- * It is sent requests soon after it has joined, and so gets a measured service time.
+ * It is sent requests soon after it has joined, so its service time becomes known.
  */
 const NEW_SERVER_TIME_FACTOR = 0.7;
 /** Service time assumed where no server has served a request yet, in milliseconds. */
--- a/packages/placement/src/choose_backend_test.ts
+++ b/packages/placement/src/choose_backend_test.ts
@@ -62,7 +62,7 @@
   });
 
   describe("when a server has joined and served no requests yet", () => {
-    // Guards against a new server getting no requests: it has no service time of its own, and was assumed to be slower
+    // Guards against a new server that gets no requests: it has no service time of its own, and is assumed to be slower
     // than all the others.
     it("sends it requests", () => {
       const counts = countChoices([
@@ -86,7 +86,7 @@
 
   describe("when a server that is full on average has no queue in an old report", () => {
     // Guards against two of four servers being full while another uses a fifth of its slots: the faster ones report a
-    // moment without a queue, and all daemons relied on that report in full until the next one.
+    // moment without a queue, and all daemons rely on that report in full until the next one.
     it("chooses the server with free slots", () => {
       const counts = countChoices([
         candidate({
@@ -133,9 +133,9 @@
   });
 
   describe("when calls that all servers make fail at another service", () => {
-    // Guards against orders being refused as overloaded while one of their servers is idle: orders whose calls fail
-    // count as failed, one server ran more of them than the two others, which are full, and failures that all servers
-    // have counted in full against it.
+    // Guards against requests being refused as overloaded while one server is idle: requests whose calls fail count as
+    // failed, one server has run more of them than the two others, which are full, and failures that all servers have
+    // count in full against it.
     it("keeps using the server that failed most, rather than wait at the others", () => {
       const counts = countChoices([
         candidate({ daemon: "failed", serviceMs: 120, failureShare: 0.51 }),
--- a/packages/placement/src/mod.ts
+++ b/packages/placement/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Chooses the backend server for a request without a key. Pure.
+ * Chooses the backend server for a request without a key. No I/O: time and randomness are parameters.
  *
  * @module
  */
--- a/packages/placement/src/route_service_times.ts
+++ b/packages/placement/src/route_service_times.ts
@@ -1,9 +1,9 @@
 /**
  * Estimates how long requests of each route take at each backend server.
  *
- * Estimates are per route because backend servers of one service run short calls beside long requests. With one average
- * per server, a server that happened to run the calls had the lowest average and was sent the next ones, too, until its
- * slots were full, while the others, which ran the long requests, appeared slow and stayed idle.
+ * Estimates are per route because backend servers of one service run both short calls and long requests. With one
+ * average per server, a server that happens to run the calls has the lowest average and is sent the next ones, too,
+ * until its slots are full, while the others, which run the long requests, appear slow and stay idle.
  *
  * @module
  */
--- a/packages/placement/src/route_service_times_test.ts
+++ b/packages/placement/src/route_service_times_test.ts
@@ -24,7 +24,7 @@
       expect(times.estimateMs("one", "upload", 100)).to.equal(300);
     });
 
-    it("approaches the average when there was no report for long", () => {
+    it("approaches the average if no report is received for long", () => {
       const times = RouteServiceTimes.create();
       times.record("one", "upload", { serviceMs: 900, reportedAtMs: 0 });
       times.record("two", "upload", { serviceMs: 300, reportedAtMs: 0 });
@@ -48,9 +48,9 @@
     });
   });
 
-  describe("replaying short calls beside long requests", () => {
-    // Guards against one server of three being full while the others are idle: servers were compared by averages over
-    // different requests, which fell at the one that ran the first calls by chance and rose where long requests ran.
+  describe("replaying short calls together with long requests", () => {
+    // Guards against one server of three being full while the others are idle: servers are compared by averages over
+    // different requests, which fall at the one that runs the first calls by chance and rise where long requests run.
     it("gives no backend server much more work than the others", () => {
       const times = RouteServiceTimes.create();
       Object.entries(SERVICE_MS).forEach(([backend, routes]) =>
--- a/packages/placement/src/sample_backends.ts
+++ b/packages/placement/src/sample_backends.ts
@@ -8,8 +8,8 @@
 const SAMPLE_SIZE = 5;
 
 /**
- * Draws a few backend servers at random, including a near one if there is one. In a large fleet, comparing all servers
- * for each request would cost more than the better choice saves.
+ * Draws a few backend servers at random, including one for which `isNear` holds if there is one. In a large fleet,
+ * comparing all servers for each request would cost more than the better choice saves.
  *
  * @returns the sample, which may contain a server twice.
  */
--- a/packages/traffic/src/mod.ts
+++ b/packages/traffic/src/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Finds the route of a request and the service that runs it, and tracks zone evacuations and pipelining. Pure.
+ * Finds the route of a request and the service that runs it, and tracks zone evacuations and pipelining. No I/O: time
+ * and randomness are parameters.
  *
  * @module
  */
--- a/packages/traffic/src/pipeline_tracker.ts
+++ b/packages/traffic/src/pipeline_tracker.ts
@@ -5,9 +5,11 @@
  * @module
  */
 
-/** Weight of the latest request in the moving average of a route (EWMA). */
-const LEARNING_RATE = 0.05;
-/** Share of a route's requests with others behind them from which the route counts as pipelined. */
+/**
+ * Weight of the latest request in the moving average (EWMA) of the share of a route's requests with others behind them.
+ */
+const PIPELINED_EWMA_WEIGHT = 0.05;
+/** Minimum value of that share from which the route counts as pipelined. */
 const PIPELINED_SHARE = 0.1;
 
 interface ConnectionEntry {
@@ -28,7 +30,7 @@
     return new PipelineTracker();
   }
 
-  /** Records a request on a connection; returns its position there, counted from 1. */
+  /** Records a request on a connection; returns its sequence number there, counted from 1. */
   beginRequest(connection: Connection): number {
     const entry = this.entryOf(connection);
     entry.inFlight += 1;
@@ -36,9 +38,9 @@
     return entry.receivedCount;
   }
 
-  /** Whether no request has been received after the one at the given position. */
-  isLast(connection: Connection, position: number): boolean {
-    return this.entryOf(connection).receivedCount === position;
+  /** Whether no request has been received after the one with the given sequence number. */
+  isLast(connection: Connection, sequenceNumber: number): boolean {
+    return this.entryOf(connection).receivedCount === sequenceNumber;
   }
 
   /** Records the end of a request; without a route it does not count towards the share of any route. */
@@ -50,7 +52,7 @@
       const hasFollower = entry.inFlight > 0 ? 1 : 0;
       this.pipelinedShares.set(
         route,
-        share + LEARNING_RATE * (hasFollower - share),
+        share + PIPELINED_EWMA_WEIGHT * (hasFollower - share),
       );
     }
   }
--- a/packages/traffic/src/zone_evacuations.ts
+++ b/packages/traffic/src/zone_evacuations.ts
@@ -27,12 +27,12 @@
 
   private constructor() {}
 
-  /** Creates an instance that has received no state yet. */
+  /** Creates an instance that has not received any state yet. */
   static create(): ZoneEvacuations {
     return new ZoneEvacuations();
   }
 
-  /** Whether any state was received, even if it says that no zone is evacuated. */
+  /** Whether any state was received, even one without evacuated zones. */
   get isKnown(): boolean {
     return this.revision >= 0;
   }
--- a/packages/traffic/src/zone_evacuations_test.ts
+++ b/packages/traffic/src/zone_evacuations_test.ts
@@ -28,7 +28,7 @@
     expect(evacuations.state).to.deep.equal({ revision: 9, zones: ["b"] });
   });
 
-  // Guards against a delayed update applying an evacuation that has ended since, or ending one that has begun since.
+  // Guards against a delayed update that applies an evacuation that has ended since, or ends one that has begun since.
   it("keeps the state of the highest revision, in whatever order updates arrive", () => {
     const anyState = fc.record({
       revision: fc.nat(20),
--- a/packages/types/src/table.ts
+++ b/packages/types/src/table.ts
@@ -5,7 +5,7 @@
  */
 import { z } from "zod";
 
-/** Partitions in one shard of the table; keeps a shard far below the store's limit of 1 MiB per value. */
+/** Partitions in one shard of the table; keeps a shard far below the store's limit of a megabyte per value. */
 export const PARTITIONS_PER_SHARD = 4_096;
 /** Value in `owners` of a partition without an owner. */
 export const NO_OWNER = -1;
