--- a/packages/router/src/attempt_history.ts
+++ b/packages/router/src/attempt_history.ts
@@ -41,7 +41,7 @@
     return this.arrivalCount;
   }
 
-  /** Number of connections to backend servers that broke under the request. */
+  /** Number of connections to backend servers that broke while the request was running. */
   get brokenConnections(): number {
     return this.brokenCount;
   }
@@ -65,8 +65,8 @@
 
   /**
    * Returns the request's outcome if no further attempt is made. The last outcome alone would be wrong: when a request
-   * is retried after a failure and the retry is refused, its caller would be told that the request has not run,
-   * although the first attempt may have.
+   * is retried after a failure and the retry is refused, its caller would receive the response that the request has not
+   * run, although the first attempt may have.
    */
   toFinalOutcome(): FinalOutcome {
     const { peer, attempts } = this;
--- a/packages/router/src/attempt_history_test.ts
+++ b/packages/router/src/attempt_history_test.ts
@@ -29,7 +29,7 @@
   });
 
   // Guards against reporting a request that a backend server has run as not run: the response of the first attempt is
-  // lost, the retry is refused for overload, and that refusal was returned as the outcome of all attempts.
+  // lost, the retry is refused for overload, and that refusal is returned as the outcome of all attempts.
   describe("when a retry is refused", () => {
     it("returns an unknown outcome after a lost response", () => {
       const lost = unknown("connection_lost");
--- a/packages/router/src/backend_load_tracker.ts
+++ b/packages/router/src/backend_load_tracker.ts
@@ -10,7 +10,7 @@
 } from "@bamboolink/placement";
 import type { LoadReport } from "./link_codec.ts";
 
-/** A daemon that could not be reached is avoided for so long, in milliseconds, if others are available. */
+/** A daemon that could not be reached is avoided for this long, in milliseconds, if others are available. */
 const AVOID_DURATION_MS = 500;
 
 /** Weight of the latest request in the moving average (EWMA) of a route's request and response sizes. */
--- a/packages/router/src/ingress.ts
+++ b/packages/router/src/ingress.ts
@@ -59,8 +59,9 @@
   headerTimeoutMs: 10_000,
   idleTimeoutMs: 15_000,
 };
-/** Lowest HTTP status by which a backend server rejects or redirects a request; failures begin the next range. */
+/** Lowest HTTP status by which a backend server rejects or redirects a request. */
 const FIRST_UNUSUAL_STATUS = 300;
+/** Lowest HTTP status by which a backend server reports that it failed a request. */
 const FIRST_FAILURE_STATUS = 500;
 /** Retry delay for callers of a daemon that has no configuration yet, in milliseconds. */
 const NO_CONFIGURATION_RETRY_MS = 200;
@@ -84,11 +85,11 @@
   readonly callerService: () => string;
 }
 
-/** A routed request with the times that only its caller's daemon knows, on the steady clock. */
+/** A routed request with the times that only its caller's daemon needs, on the monotonic clock. */
 interface CallerRoutedRequest extends RoutedRequest {
   /** Latest start at which a request of typical service time meets its objective. */
   readonly latestStartAtMs: number;
-  /** When the caller gives up, whatever its route's timeout. */
+  /** When the caller stops waiting, whatever the timeout of its route. */
   readonly callerDeadlineAtMs: number;
 }
 
@@ -121,7 +122,7 @@
       requestTimeout: 0,
     }, (incoming, response) => void this.serve(incoming, response));
     this.connections = CallerConnections.create(this.server, {
-      onMalformedInput: (input) => this.logUnreadable(input),
+      onMalformedInput: (input) => this.logMalformedInput(input),
     });
   }
 
@@ -145,7 +146,7 @@
     return this.connections.unsentBytes;
   }
 
-  /** Applies the time limits on callers. */
+  /** Applies the timeouts for callers' connections. */
   setLimits(limits: CallerLimits): void {
     this.server.keepAliveTimeout = limits.idleTimeoutMs;
     this.server.headersTimeout = limits.headerTimeoutMs;
@@ -266,7 +267,7 @@
     this.refuse(response, outcome, request);
   }
 
-  private logUnreadable({ code, pendingResponses }: MalformedInput): void {
+  private logMalformedInput({ code, pendingResponses }: MalformedInput): void {
     const { logger, metrics } = this.context;
     logger.log("caller_bytes_unreadable", {
       code,
@@ -275,7 +276,7 @@
     metrics.count("bamboolink_rejected_requests", { reason: "unreadable" });
   }
 
-  /** Refuses a request because the event loop lags so far behind that any response would come too late. */
+  /** Refuses a request because the event loop lags so far behind that its response would be late. */
   private refuseOverloaded(
     response: ServerResponse,
     arrival: { request: CallerRequest; route: TrafficRoute },
@@ -506,7 +507,9 @@
     });
   }
 
-  /** Logs a response that is cut off: the request counts as answered here, but its caller received only part of it. */
+  /**
+   * Logs a response that is truncated: the request counts as answered here, but its caller received only part of it.
+   */
   private watchDelivery(
     response: ServerResponse,
     delivery: { routed: CallerRoutedRequest; bytes: number },
@@ -574,7 +577,7 @@
     outcome: RouterOutcome,
     request?: Pick<CallerRequest, "id">,
   ): void {
-    // An unreadable body may have closed the connection already.
+    // A malformed body may have closed the connection already.
     if (response.destroyed || response.headersSent) {
       return;
     }
@@ -589,7 +592,7 @@
 
   /**
    * While the daemon stops, a response closes its connection, unless other requests are pipelined behind it: they may
-   * be running already, and their responses would be cut off.
+   * be running already, and their responses would be lost.
    */
   private connectionHeader(response: ServerResponse): Record<string, string> {
     const { socket } = response.req;
@@ -602,7 +605,7 @@
   }
 }
 
-/** Query strings may hold data that callers don't want in logs. */
+/** Removes the query, which may contain data that must not be logged. */
 function withoutQuery(target: string): string {
   return target.split("?", 1)[0]!;
 }
--- a/packages/router/src/load_meter.ts
+++ b/packages/router/src/load_meter.ts
@@ -8,7 +8,7 @@
 const LOAD_HALF_LIFE_MS = 1_000;
 /** Weight of the latest request in the share of failures (EWMA). */
 const FAILURE_EWMA_WEIGHT = 0.1;
-/** Half-life of the share of failures without requests, in milliseconds: a failing server is tried again. */
+/** Half-life of the share of failures, in milliseconds, so that a failing server is sent requests again. */
 const FAILURE_HALF_LIFE_MS = 1_500;
 
 /** Exponentially decaying sums and averages of load and failures. */
--- a/packages/router/src/local_backend.ts
+++ b/packages/router/src/local_backend.ts
@@ -56,7 +56,7 @@
  */
 const WAIT_CACHE_TTL_MS = 5;
 
-/** Start of this process on the steady clock, in milliseconds. */
+/** Start of this process on the monotonic clock, in milliseconds. */
 const PROCESS_START_MS = 0;
 
 /** Evidence against the assumed state of the backend server. */
@@ -85,9 +85,9 @@
   readonly slots: number;
   readonly phase: MemberPhase;
   readonly isKeyed: boolean;
-  /** Until when requests are forwarded to it, on the steady clock; infinite while it accepts new requests. */
+  /** Until when requests are forwarded to it, on the monotonic clock; infinite while it accepts new requests. */
   readonly forwardUntilMs: number;
-  /** End of its cold start, on the steady clock. */
+  /** End of its cold start, on the monotonic clock. */
   readonly coldUntilMs: number;
   /** Maximum requests per second during its cold start; 0 where that is not known. */
   readonly coldLimit: number;
@@ -119,7 +119,7 @@
     this.connections = ConnectionPool.create(context.address);
   }
 
-  /** Creates one without a backend server; requests are refused until {@link updateIdentity} is called. */
+  /** Creates an instance without a backend server; requests are refused until {@link updateIdentity} is called. */
   static create(context: LocalBackendContext): LocalBackend {
     return new LocalBackend(context);
   }
@@ -138,7 +138,7 @@
       this.pacer.setColdUntil(identity.coldUntilMs);
     }
     this.queue.setSlots(identity?.slots ?? 0);
-    this.apply(this.queue.advance(steadyMs()));
+    this.applyQueueChanges(this.queue.advance(steadyMs()));
   }
 
   /** Returns the backend server's load, and the average time of a route's requests there. */
@@ -210,11 +210,12 @@
   }
 
   /**
-   * Refuses queued requests that can't be served in time any more, and decays the load statistics. Called by a timer.
+   * Refuses queued requests that can no longer be served before their deadline, and decays the load statistics. Called
+   * by a timer.
    */
   tick(): void {
     const nowMs = steadyMs();
-    this.apply(this.queue.advance(nowMs));
+    this.applyQueueChanges(this.queue.advance(nowMs));
     this.meter.decay(nowMs);
     this.profile.decay(nowMs);
     this.connections.prune({ nowMs, maxIdleMs: IDEMPOTENT_MAX_IDLE_MS });
@@ -318,7 +319,8 @@
   }
 
   /**
-   * While it drains, only requests for keys are forwarded for a while longer: no other backend server can serve them.
+   * A draining or evacuated backend server still gets requests for its keys until `forwardUntilMs`: no other one can
+   * serve them.
    */
   private acceptsRequests({ phase, isKeyed, forwardUntilMs }: BackendIdentity) {
     return phase === "ready" || isKeyed && steadyMs() <= forwardUntilMs;
@@ -426,7 +428,7 @@
         : NON_IDEMPOTENT_MAX_IDLE_MS,
     });
     const result = await connection.exchange(
-      this.describe(request, startedAtMs),
+      this.toExchangeRequest(request, startedAtMs),
       { cancellation: slot.cancellation, nowMs: steadyMs },
     );
     this.releaseSlot(slot.id);
@@ -442,7 +444,9 @@
     return outcome;
   }
 
-  /** Repeats the checks after the wait: keys may have moved, the server may drain, the request may be quarantined. */
+  /**
+   * Repeats the checks after the wait: keys may have moved, the server may be draining, the request may be quarantined.
+   */
   private recheck(request: RoutedRequest): Outcome | undefined {
     const { grants } = this.context;
     const quarantined = this.checkQuarantine(request);
@@ -467,7 +471,7 @@
       : undefined;
   }
 
-  private describe(request: RoutedRequest, nowMs: number) {
+  private toExchangeRequest(request: RoutedRequest, nowMs: number) {
     const details = this.context.protocol.requestHeaders({
       remainingMs: Math.max(1, Math.floor(request.deadlineAtMs - nowMs)),
       instance: this.identity?.instance ?? "",
@@ -558,10 +562,10 @@
 
   private releaseSlot(id: number): void {
     this.totals.finished += 1;
-    this.apply(this.queue.finish(id, steadyMs()));
+    this.applyQueueChanges(this.queue.finish(id, steadyMs()));
   }
 
-  private apply(changes: QueueChanges): void {
+  private applyQueueChanges(changes: QueueChanges): void {
     changes.run.forEach((id) => this.resolveWaiting(id, "run"));
     changes.refuse.forEach(({ id, reason }) =>
       this.resolveWaiting(id, notRun(reason, { waitMs: this.waitMs }))
--- a/packages/router/src/local_backend_test.ts
+++ b/packages/router/src/local_backend_test.ts
@@ -106,7 +106,7 @@
     server.closeAllConnections();
   });
 
-  describe("when a server crashes under a suspect while another suspect is queued", () => {
+  describe("when a server crashes while running a suspect and another suspect is queued", () => {
     // Guards against quarantining the queued request: it is sent next, on a connection to the crashed server whose
     // break has not been detected yet.
     it("quarantines only the first", async () => {
--- a/packages/router/src/loop_lag.ts
+++ b/packages/router/src/loop_lag.ts
@@ -17,10 +17,10 @@
 const MIN_RELEVANT_LAG_MS = 40;
 
 /**
- * The lag of the event loop.
+ * Measures how late the event loop reads requests.
  *
- * Without it, after a restart on a slow processor requests stay unread for a second. Once read, they look new, and are
- * run for callers that disconnected long ago, at the expense of those that are still connected.
+ * After a restart on a slow processor, requests may stay unread for a second. Without the measured lag, they would be
+ * taken for new ones and run for callers that disconnected long ago, at the expense of those that are still connected.
  */
 export class LoopLag {
   private recentLags: number[] = [];
@@ -38,7 +38,7 @@
    * Creates a lag meter that is driven by a timer.
    *
    * @param tickMs the period of the timer, in milliseconds.
-   * @param now returns the time on the steady clock, in milliseconds.
+   * @param now returns the time on the monotonic clock, in milliseconds.
    */
   static create(tickMs: number, now: () => number): LoopLag {
     return new LoopLag(tickMs, now);
--- a/packages/router/src/loop_lag_test.ts
+++ b/packages/router/src/loop_lag_test.ts
@@ -34,8 +34,8 @@
 
   describe("when the event loop lags far behind", () => {
     // Guards against running requests for callers that disconnected a second ago: after a restart of all hosts, with
-    // slow processors and code that is not compiled yet, each request was read late and still run, which delayed the
-    // next one.
+    // slow processors and code that is not compiled yet, each request is read late and still run, which delays the next
+    // one.
     it("refuses less urgent requests first, then all", () => {
       const { lag, tickAfter } = createLag();
       tickAfter(50 + 150);
@@ -94,7 +94,7 @@
     }
 
     // Guards against forwarding a request long after its caller has disconnected, only to abort it at once: under lag,
-    // the request is read in one turn and the end of the connection in the next, and only one turn was waited for.
+    // the request is read in one turn and the end of the connection in the next, and only one turn is waited for.
     it("detects the disconnect under lag", async () => {
       const { lag, advance } = createLag();
       advance(1_000);
@@ -102,7 +102,7 @@
     });
 
     // Guards against the same without lag: the packet that opens a connection is lost and retransmitted after a second,
-    // the caller has disconnected meanwhile, and only a lagging process checked whether it was still connected.
+    // the caller has disconnected meanwhile, and only a lagging process checks whether it is still connected.
     it("detects the disconnect for the first request of a connection", async () => {
       const { lag } = createLag();
       expect(await serveOne(lag, { isFirst: true })).to.equal(true);
--- a/packages/router/src/probation.ts
+++ b/packages/router/src/probation.ts
@@ -8,8 +8,8 @@
 import { steadyMs } from "./clock.ts";
 import { notRun, type Outcome, type RoutedRequest } from "./routed_request.ts";
 
-/** A suspect request in the queue of suspects. */
-export interface ProbationEntry {
+/** How a suspect request is run. */
+export interface ProbationOptions {
   readonly cancellation: Cancellation;
   /** Typical service time of its route, in milliseconds. */
   readonly estimateMs: number;
@@ -34,10 +34,10 @@
    */
   async run(
     request: RoutedRequest,
-    entry: ProbationEntry,
+    options: ProbationOptions,
     runNow: () => Promise<Outcome>,
   ): Promise<Outcome> {
-    const { cancellation, estimateMs } = entry;
+    const { cancellation, estimateMs } = options;
     const waitMs = this.queue.length * estimateMs;
     if (steadyMs() + waitMs + estimateMs > request.deadlineAtMs) {
       return notRun("too_late", { waitMs });
--- a/packages/router/src/probe_backend.ts
+++ b/packages/router/src/probe_backend.ts
@@ -9,15 +9,14 @@
 import { Connection } from "./exchange.ts";
 import type { BackendProtocol } from "./ports/backend_protocol.ts";
 
-/** How long the backend server may take to answer the health check, in milliseconds. */
+/** How long the backend server may take to respond to the health check, in milliseconds. */
 const PROBE_TIMEOUT_MS = 400;
 
 /**
  * Sends a health check on a separate connection.
  *
- * @returns the incarnation that answered, or whether the connection was refused; `silent` if there was no usable
- *   response
- *   in time.
+ * @returns the incarnation that responded, or whether the connection was refused; `silent` if there was no usable
+ *   response before the timeout.
  */
 export async function probeBackend(
   address: string,
--- a/packages/router/src/request_quarantine.ts
+++ b/packages/router/src/request_quarantine.ts
@@ -19,14 +19,14 @@
 
 /** Interval of repeated reports of quarantined requests, in milliseconds, for daemons that have just started. */
 const REPEAT_INTERVAL_MS = 1_000;
-/** Maximum requests in one datagram, so that it is not fragmented. */
+/** Maximum number of requests in one datagram, so that it is not fragmented. */
 const MAX_REQUESTS_PER_UPDATE = 16;
-/** A request under which so many connections broke in one attempt is a suspect even if no crash is known. */
+/** A request is not retried once this many connections broke while it was running, in one attempt of its caller. */
 const MAX_BROKEN_CONNECTIONS = 2;
 /** A crash is identified by a random integer below this. */
 const CRASH_ID_RANGE = 2 ** 32;
 
-/** Message between daemons on requests under which backend servers crashed. */
+/** Message between daemons on requests that backend servers were running when they crashed. */
 export type QuarantineUpdate = Extract<
   Datagram,
   { kind: "crash_reports" | "cleared" }
@@ -39,9 +39,9 @@
   readonly logger: Logger;
   readonly random: () => number;
   readonly nowMs: () => number;
-  /** Sends an update to all living daemons. */
+  /** Sends an update to all alive daemons. */
   readonly broadcast: (update: QuarantineUpdate) => void;
-  /** Sends an update to a few living daemons, different ones each time. */
+  /** Sends an update to a few alive daemons, different ones each time. */
   readonly sendToSome: (update: QuarantineUpdate) => void;
 }
 
@@ -50,7 +50,7 @@
 
 /** One daemon's state of the requests that are suspected of crashing backend servers or quarantined. */
 export class RequestQuarantine {
-  private readonly lostRuns = InterruptedRuns.create();
+  private readonly interruptedRuns = InterruptedRuns.create();
   private readonly recentResponses = RecentResponses.create();
   private readonly tracker: PoisonRequestTracker;
   /** Cached fingerprints of requests in flight: each request is classified several times. */
@@ -63,7 +63,7 @@
     this.tracker = PoisonRequestTracker.create(context.random);
   }
 
-  /** Creates one without suspects. */
+  /** Creates an instance without suspects. */
   static create(context: RequestQuarantineContext): RequestQuarantine {
     return new RequestQuarantine(context);
   }
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Returns how a request may be run. Fingerprints are computed only while there are suspects: they hash the requests'
-   * bodies.
+   * Returns how a request may be run. Its fingerprint, a hash that includes the body, is computed only if some request
+   * is suspect or quarantined, or if a connection broke while this one was running.
    */
   classify(request: RoutedRequest): RequestClassification {
     if (!this.needsClassification(request)) {
@@ -91,10 +91,11 @@
   }
 
   /**
-   * Whether a request may be retried after a server that is gone or has no capacity. A suspect may not: the server may
-   * just have crashed under another copy of it, and the next one would.
+   * Whether a request may be retried after an attempt at a server that has stopped or has no capacity. A suspect may
+   * not: the server may just have crashed while running another copy of it, and the next server would crash as well.
    *
-   * @param brokenConnections how many connections to backend servers broke under it in this attempt of its caller.
+   * @param brokenConnections how many connections to backend servers broke while it was running, in this attempt of its
+   *   caller.
    */
   mayRetry(request: RoutedRequest, brokenConnections: number): boolean {
     const isSuspect = !this.tracker.isEmpty &&
@@ -117,7 +118,7 @@
     const { address: sender, nowMs, broadcast, logger } = this.context;
     // A process that refused connections for a moment may be the one that responds now.
     this.hasCrashed = false;
-    this.lostRuns.recordAnswered(nowMs());
+    this.interruptedRuns.recordAnswered(nowMs());
     this.recentResponses.record(request);
     if (!this.needsClassification(request)) {
       return;
@@ -136,10 +137,10 @@
    */
   recordBrokenConnection(request: RoutedRequest, isOnProbation: boolean): void {
     if (this.hasCrashed) {
-      // The process had crashed before, so it can't have crashed under this request.
+      // The process had crashed before, so it can't have crashed because of this request.
       return;
     }
-    this.lostRuns.recordInterrupted({
+    this.interruptedRuns.recordInterrupted({
       requestId: request.id,
       fingerprint: this.fingerprintOf(request),
       isOnProbation,
@@ -147,13 +148,13 @@
     });
   }
 
-  /** Records that the local backend server's process has ended. */
+  /** Records that the local backend server's process has ended, or is assumed to have ended. */
   recordBackendEnd({ instance, proof }: BackendProcessEnd): void {
     const { logger, nowMs, random } = this.context;
-    // Refused: nothing listens until the next process starts. Replaced: the next process already runs.
+    // Refused: no process listens until the next one starts. Replaced: the next process already runs.
     this.hasCrashed = proof === "refused";
     const answeredFingerprints = this.recentResponses.takeFingerprints();
-    const runs = this.lostRuns.takeRunsAtCrash(nowMs())
+    const runs = this.interruptedRuns.takeRunsAtCrash(nowMs())
       .filter(({ fingerprint }) => !answeredFingerprints.has(fingerprint));
     if (runs.length === 0) {
       return;
--- a/packages/router/src/request_quarantine_test.ts
+++ b/packages/router/src/request_quarantine_test.ts
@@ -139,7 +139,7 @@
       );
     });
 
-    // Guards against suspecting popular requests, which are in flight at every crash: the crashed process had responded
+    // Guards against suspecting popular requests, which are in flight at every crash: the crashed process has responded
     // to them before, so they can't have crashed it.
     it("does not suspect requests that the crashed process had responded to", () => {
       fleet.at(0).recordResponse(createRequest("/popular"));
@@ -151,10 +151,10 @@
     });
   });
 
-  // Guards against quarantining a popular request, whose callers were refused for half a minute. It was sent to a
-  // crashed server, on a connection whose break had not been detected; the one crash was reported twice, when the
-  // server refused connections and when the next process started, and the second report no longer knew the crashed
-  // one's responses.
+  // Guards against quarantining a popular request, whose callers are then refused for half a minute: it is sent to a
+  // crashed server, on a connection whose break has not been detected. The one crash is reported twice, when the server
+  // refuses connections and when the next process starts, and at the second report the responses of the crashed process
+  // are no longer recorded.
   describe("when a connection breaks to a server that is known to have crashed", () => {
     it("suspects no request, and the next process's requests when that crashes", () => {
       fleet.at(0).recordResponse(createRequest("/popular"));
@@ -191,7 +191,7 @@
     });
   });
 
-  describe("when a second server has crashed under a suspect", () => {
+  describe("when a second server has crashed while running a suspect", () => {
     const quarantine = () => {
       fleet.crash(0, [createRequest("/lethal"), createRequest("/beside")]);
       fleet.deliver();
--- a/packages/router/src/request_runner.ts
+++ b/packages/router/src/request_runner.ts
@@ -316,8 +316,8 @@
   }
 
   /**
-   * Records the local backend server's load, which no other daemon reports. Without this it would look idle and fast
-   * for ever, and all requests that arrive here would be placed on it, however loaded it is.
+   * Records the local backend server's load, which no other daemon reports. Without this, the server would always
+   * appear idle and fast, and all requests that arrive here would be placed on it, however loaded it is.
    */
   private recordLocalLoad(route: string, nowMs: number): void {
     const { view, loadTracker, backend } = this.context;
@@ -336,7 +336,7 @@
     return steadyMs() + expectedLatencyMs(candidate) < request.objectiveAtMs;
   }
 
-  /** Finds a key's owner. A key that has just lost its owner is waited for: most get another within milliseconds. */
+  /** Finds a key's owner, and waits for one if the key has just lost it: most keys get another within milliseconds. */
   private async findOwner(
     request: RoutedRequest,
     tried: ReadonlySet<string>,
@@ -399,8 +399,8 @@
 }
 
 /**
- * Whether a suspect's attempt has used up its probation: its backend server is gone, or has no capacity soon.
- * Retried elsewhere, concurrent copies of the request would each crash another server.
+ * Whether a suspect's attempt has used up its probation: its backend server has stopped, or will have no capacity soon.
+ * If it were retried elsewhere, concurrent copies of the request would each crash another server.
  */
 function endsProbation(outcome: Outcome): boolean {
   return outcome.kind === "unknown" && outcome.reason === "backend_lost" ||
--- a/packages/router/src/routed_request.ts
+++ b/packages/router/src/routed_request.ts
@@ -7,7 +7,8 @@
 import type { ResponseHeaders } from "./exchange.ts";
 
 /**
- * A request to be sent to a backend server. Times are on the steady clock of the daemon that holds it, in milliseconds.
+ * A request to be sent to a backend server. Times are in milliseconds on the monotonic clock of the daemon that
+ * processes it.
  */
 export interface RoutedRequest {
   readonly id: string;
@@ -22,11 +23,11 @@
   readonly callerService: string;
   /** When its latency objective ends. */
   readonly objectiveAtMs: number;
-  /** When its response is of no more use to its caller. */
+  /** When its caller no longer needs its response. */
   readonly deadlineAtMs: number;
   /** Whether it may miss its objective; not if other requests are pipelined behind it on its caller's connection. */
   readonly mayEndLate: boolean;
-  /** Number of connections to backend servers that broke under it before, in this attempt of its caller. */
+  /** Number of connections to backend servers that broke while it was running, in this attempt of its caller. */
   readonly brokenConnections: number;
   readonly method: string;
   readonly target: string;
@@ -45,11 +46,11 @@
   | "no_owner"
   /** The daemon's backend server doesn't own the key. */
   | "not_owner"
-  /** The backend server drains. */
+  /** The backend server is draining. */
   | "draining"
   /** Operators have evacuated the backend server's availability zone. */
   | "evacuated"
-  /** The daemon stops. */
+  /** The daemon is stopping. */
   | "stopping"
   /** It can't be served before its deadline. */
   | "too_late"
@@ -61,7 +62,7 @@
   | "backend_unreachable"
   /** The backend server reported that it has not run it. */
   | "not_executed"
-  /** It is quarantined because backend servers crashed under it. */
+  /** It is quarantined because backend servers crashed while running it. */
   | "quarantined"
   | "cancelled";
 
