--- a/packages/router/src/acknowledgement_times.ts
+++ b/packages/router/src/acknowledgement_times.ts
@@ -1,5 +1,5 @@
 /**
- * Learns how long daemons take to acknowledge a request, and derives a time limit from it.
+ * Learns how long daemons take to acknowledge a request, and derives a timeout from it.
  *
  * @module
  */
@@ -9,10 +9,10 @@
  * a lost packet after 200 ms, which must not count as such.
  */
 const MIN_TIMEOUT_MS = 260;
-/** Time limit as a multiple of the average. A daemon short of processor time responds late; retries would add load. */
+/** Timeout as a multiple of the average. A daemon short of processor time responds late; retries would add load. */
 const TIMEOUT_FACTOR = 4;
 /** Weight of the latest time in the moving average (EWMA). */
-const EWMA_WEIGHT = 0.1;
+const ACKNOWLEDGEMENT_EWMA_WEIGHT = 0.1;
 
 /** Average acknowledgement time over all daemons: what slows one down mostly slows the others, or this one, too. */
 export class AcknowledgementTimes {
@@ -20,14 +20,15 @@
 
   private constructor() {}
 
-  /** Creates one without measurements. */
+  /** Creates an instance without measurements. */
   static create(): AcknowledgementTimes {
     return new AcknowledgementTimes();
   }
 
   /** Records the time until an acknowledgement, in milliseconds. */
   record(durationMs: number): void {
-    this.averageMs += EWMA_WEIGHT * (durationMs - this.averageMs);
+    this.averageMs += ACKNOWLEDGEMENT_EWMA_WEIGHT *
+      (durationMs - this.averageMs);
   }
 
   /** Time without an acknowledgement after which a daemon counts as unresponsive, in milliseconds. */
--- a/packages/router/src/exchange.ts
+++ b/packages/router/src/exchange.ts
@@ -11,7 +11,7 @@
 const CONNECT_TIMEOUT_MS = 400;
 /** Statuses below this are informational (1xx): the final response is still to follow. */
 const MIN_FINAL_STATUS = 200;
-/** Largest accepted response body, in bytes. Responses are buffered completely, so that none is forwarded in part. */
+/** Maximum accepted response body, in bytes. Responses are buffered completely, so that none is forwarded in part. */
 const MAX_RESPONSE_BYTES = 67_108_864;
 
 /** A request as it is sent over a connection. */
@@ -58,9 +58,9 @@
   readonly nowMs: () => number;
 }
 
-/** Whether and how the current connection of a client was closed. */
-interface ConnectionEnd {
-  state: "open" | "ended" | "reset";
+/** Whether the current connection of a client is open, and otherwise how it was closed. */
+interface ConnectionState {
+  current: "open" | "ended" | "reset";
 }
 
 type Controller = Dispatcher.DispatchController;
@@ -72,20 +72,20 @@
   private constructor(
     private readonly client: Client,
     private readonly peer: string,
-    private readonly end: ConnectionEnd,
+    private readonly state: ConnectionState,
   ) {}
 
   /** Creates a connection that is opened by its first request. */
   static create(peer: string): Connection {
-    const end: ConnectionEnd = { state: "open" };
+    const state: ConnectionState = { current: "open" };
     const client = new Client(`http://${peer}`, {
       pipelining: 1,
-      connect: createTrackingConnector(end),
+      connect: createTrackingConnector(state),
       headersTimeout: 0,
       bodyTimeout: 0,
       maxResponseSize: MAX_RESPONSE_BYTES,
     });
-    return new Connection(client, peer, end);
+    return new Connection(client, peer, state);
   }
 
   /** When the last exchange ended, on the clock of its `nowMs` option. */
@@ -99,9 +99,9 @@
     options: ExchangeOptions,
   ): Promise<ExchangeResult> {
     return new Promise((resolve) => {
-      const { peer, end } = this;
+      const { peer, state } = this;
       const { cancellation, nowMs } = options;
-      const handler = ExchangeHandler.create({ peer, end }, (result) => {
+      const handler = ExchangeHandler.create({ peer, state }, (result) => {
         cancellation.remove(cancel);
         this.lastExchangeAtMs = nowMs();
         resolve(result);
@@ -140,10 +140,10 @@
 
 interface HandlerContext {
   readonly peer: string;
-  readonly end: ConnectionEnd;
+  readonly state: ConnectionState;
 }
 
-/** Collects one response. */
+/** Collects the response of one exchange from the callbacks of the HTTP client. */
 class ExchangeHandler {
   private isRequestSent = false;
   private isDone = false;
@@ -153,14 +153,14 @@
 
   private constructor(
     private readonly connection: HandlerContext,
-    private readonly settle: (result: ExchangeResult) => void,
+    private readonly resolve: (result: ExchangeResult) => void,
   ) {}
 
   static create(
     connection: HandlerContext,
-    settle: (result: ExchangeResult) => void,
+    resolve: (result: ExchangeResult) => void,
   ): ExchangeHandler {
-    return new ExchangeHandler(connection, settle);
+    return new ExchangeHandler(connection, resolve);
   }
 
   /** Called just before the first byte is written; not called if connecting failed. */
@@ -185,7 +185,7 @@
 
   onResponseEnd(): void {
     const { status, headers } = this;
-    if (!isComplete(headers, this.connection.end)) {
+    if (!isComplete(headers, this.connection.state)) {
       this.fail(
         new Error("the connection was closed within the response body"),
       );
@@ -194,7 +194,7 @@
     const body = this.chunks.length === 1
       ? this.chunks[0]!
       : Buffer.concat(this.chunks);
-    const isFramed = this.connection.end.state === "open";
+    const isFramed = this.connection.state.current === "open";
     this.finish({ kind: "answer", status, headers, body, isFramed });
   }
 
@@ -229,7 +229,7 @@
   private finish(result: ExchangeResult): void {
     if (!this.isDone) {
       this.isDone = true;
-      this.settle(result);
+      this.resolve(result);
     }
   }
 }
@@ -241,8 +241,8 @@
  * so a caller would get a truncated response that looks complete. Only a response without framing may be delimited by
  * the end of its connection, and only if the connection was closed without a reset.
  */
-function isComplete(headers: ResponseHeaders, end: ConnectionEnd): boolean {
-  switch (end.state) {
+function isComplete(headers: ResponseHeaders, state: ConnectionState): boolean {
+  switch (state.current) {
     case "open":
       return true;
     case "ended":
@@ -253,7 +253,9 @@
 }
 
 /** Creates a connector that records how a connection was closed before the client is notified of it. */
-function createTrackingConnector(end: ConnectionEnd): buildConnector.connector {
+function createTrackingConnector(
+  state: ConnectionState,
+): buildConnector.connector {
   const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
   return (options, callback) =>
     connect(options, (...[error, socket]) => {
@@ -261,12 +263,12 @@
         callback(error ?? new Error("no socket was created"), null);
         return;
       }
-      end.state = "open";
+      state.current = "open";
       socket.on("end", () => {
-        end.state = "ended";
+        state.current = "ended";
       });
       socket.on("error", () => {
-        end.state = "reset";
+        state.current = "reset";
       });
       callback(null, socket);
     });
--- a/packages/router/src/exchange_test.ts
+++ b/packages/router/src/exchange_test.ts
@@ -47,8 +47,8 @@
       expect(result.kind === "answer" && result.isFramed).to.equal(false);
     });
 
-    // Guards against a success with a truncated body: the backend server wrote part of a response without a length and
-    // crashed, and the client treated the reset as the end of the response.
+    // Guards against a success with a truncated body: the backend server writes part of a response without a length and
+    // crashes, and the client treats the reset as the end of the response.
     it("treats it as lost when the connection is reset", async () => {
       const result = await exchangeWith((socket) => {
         socket.write(`${STATUS_LINE}connection: close\r\n\r\npart`);
@@ -108,7 +108,7 @@
     });
   });
 
-  describe("when the peer does not answer at once", () => {
+  describe("when the peer does not respond at once", () => {
     it("treats the request as lost if no response arrives before the timeout", async () => {
       const result = await exchangeWith(() => undefined, { acknowledgeMs: 30 });
       expect(result.kind).to.equal("lost");
--- a/packages/router/src/forwarder.ts
+++ b/packages/router/src/forwarder.ts
@@ -17,7 +17,9 @@
   unknown,
 } from "./routed_request.ts";
 
-/** A link that has been idle for so long is closed, in milliseconds: most pairs of daemons rarely exchange requests. */
+/**
+ * A link that has been idle for this long is closed, in milliseconds: most pairs of daemons rarely exchange requests.
+ */
 const LINK_IDLE_TIMEOUT_MS = 20_000;
 
 /** Dependencies of {@link Forwarder}. */
@@ -95,7 +97,7 @@
     });
   }
 
-  /** Abandons requests at unresponsive daemons, and closes idle links. Called by a timer. */
+  /** Abandons retryable requests at unresponsive daemons, and closes idle links. Called by a timer. */
   tick(): void {
     const nowMs = steadyMs();
     this.links.forEach((link, daemon) =>
@@ -144,7 +146,7 @@
     );
   }
 
-  /** Finds requests that have not been acknowledged within the learned time limit. */
+  /** Finds requests that have not been acknowledged within the timeout, which follows from earlier acknowledgements. */
   private findOverdue(link: LinkClient, nowMs: number): LinkRequest[] {
     const { timeoutMs } = this.acknowledgements;
     return link.findUnacknowledged().filter(({ sentAtMs }) =>
--- a/packages/router/src/frame_socket_test.ts
+++ b/packages/router/src/frame_socket_test.ts
@@ -14,10 +14,11 @@
 
 describe("FrameSocket", () => {
   describe("that is ended while a response is still buffered", () => {
-    // Guards against losing a buffered response: a daemon's grace period expired while a large response was buffered
-    // for a link and another request of the same link was still running. The link was ended; then the second response
-    // was written to it. Node.js treats a write after the end as an error and destroys the connection with everything
-    // buffered: none of the 16 MB of the first response arrived, and its caller was told that its request may have run.
+    // Guards against losing a buffered response: a daemon's grace period expires while a large response is buffered for
+    // a link and another request of the same link is still running. The link is ended; then the second response is
+    // written to it. Node.js treats a write after the end as an error and destroys the connection with everything
+    // buffered: none of the 16 MB of the first response arrive, and its caller receives the response that its request
+    // may have run.
     it("drops further frames without breaking the connection", async () => {
       const server = createServer();
       const accepted = new Promise<Socket>((resolve) =>
--- a/packages/router/src/link_client.ts
+++ b/packages/router/src/link_client.ts
@@ -24,13 +24,13 @@
   /** The other daemon has confirmed for the first time that it has received the request. */
   readonly onAcknowledged: () => void;
   readonly onOutcome: (outcome: Outcome, load: LoadReport) => void;
-  /** The other daemon has not acknowledged the request within the typical time. */
+  /** The other daemon has not acknowledged the request within the timeout; called again at each check. */
   readonly onUnresponsive: () => void;
   /** No outcome will be received. `isSent`: the other daemon may have received the request. */
   readonly onLost: (isSent: boolean, cause: BamboolinkError) => void;
 }
 
-/** One request in flight. */
+/** A request in flight, with what has been received for it so far. */
 export interface LinkRequest {
   readonly id: number;
   readonly sentAtMs: number;
--- a/packages/router/src/link_codec.ts
+++ b/packages/router/src/link_codec.ts
@@ -17,7 +17,7 @@
   UnknownReason,
 } from "./routed_request.ts";
 
-/** Kinds of frames. */
+/** Values of the kind field of a frame. */
 export const FRAME_KINDS = {
   /** The first frame of each side: the format version. */
   handshake: 1,
@@ -39,7 +39,7 @@
 const LENGTH_BYTES = 4;
 /** Size of kind, id and head length, in bytes. */
 const PREFIX_BYTES = 9;
-/** Largest accepted frame, in bytes: the largest body and space for its head. */
+/** Maximum accepted frame, in bytes: the maximum body and space for its head. */
 const MAX_FRAME_BYTES = 67_108_864 + 1_048_576;
 
 const EMPTY_BODY = Buffer.alloc(0);
@@ -83,7 +83,7 @@
   z.number().describe("wait, in milliseconds"),
   z.number().describe("offered work per slot"),
   z.number().describe("typical service time of the route, in milliseconds"),
-  z.number().describe("ratio of recent requests that failed"),
+  z.number().describe("share of recent requests that failed"),
 ]);
 
 /** The head of an outcome. */
@@ -103,11 +103,14 @@
 export interface LoadReport {
   /** How long a request that arrives now would wait before it starts, in milliseconds. */
   readonly waitMs: number;
-  /** Offered work per slot, averaged over the last second; 1 keeps all slots busy. */
+  /**
+   * Recent offered work per slot (half-life 1 s), or the used share of a cold server's rate limit if that is higher; 1
+   * is saturated.
+   */
   readonly utilization: number;
   /** Typical service time of the route in question, in milliseconds; 0 before its first request. */
   readonly serviceMs: number;
-  /** Ratio of recent requests that failed. */
+  /** Share of recent requests that failed, from 0 to 1. */
   readonly failureShare: number;
 }
 
--- a/packages/router/src/link_server.ts
+++ b/packages/router/src/link_server.ts
@@ -27,7 +27,7 @@
 
 /**
  * Factor on the estimated wait of a late response, because on-time responses that become ready later are also sent
- * before it. Without it, one download in six on a busy host was produced but not delivered by its deadline.
+ * before it. Without it, one download in six on a busy host is produced but not delivered by its deadline.
  */
 const LATE_WAIT_FACTOR = 2;
 
@@ -73,8 +73,8 @@
 
   /**
    * How many requests are in flight or have a response that waits to be sent, plus the number of links with unsent
-   * bytes: responses that are buffered when the process exits would be lost, and their callers would be told that their
-   * requests may have run.
+   * bytes: responses that are buffered when the process exits would be lost, and their callers would receive the
+   * response that their requests may have run.
    */
   get activeCount(): number {
     const inFlight = [...this.links].reduce(
@@ -90,7 +90,7 @@
     this.isStopping = true;
   }
 
-  /** Tells the other daemons which requests were read last, and ends all links; resolves when all are closed. */
+  /** Notifies the other daemons which requests were read last, and ends all links; resolves when all are closed. */
   async close(): Promise<void> {
     this.hasSentGoAway = true;
     this.server.close();
@@ -180,10 +180,14 @@
     const { backend, responses, lag, logger } = this.context;
     const { route, objectiveAtMs } = request;
     await lag.awaitPendingReads({ isFirst: false });
-    const adjusted = reserveLinkTime(request, responses.estimateDelay(route), {
-      nowMs: this.context.nowMs(),
-      serviceMs: backend.loadReportFor(route).serviceMs,
-    });
+    const adjusted = reserveTransmissionTime(
+      request,
+      responses.estimateDelay(route),
+      {
+        nowMs: this.context.nowMs(),
+        serviceMs: backend.loadReportFor(route).serviceMs,
+      },
+    );
     responses.adjustRunning(route, 1);
     const outcome = await this.run(adjusted, cancellation)
       .catch((cause) => {
@@ -194,7 +198,7 @@
     if (link.running.delete(id) && cancellation.reason !== "cancelled") {
       const { frames } = link;
       const load = backend.loadReportFor(route);
-      // A daemon that chooses among backend servers must also take the delay of the links to them into account.
+      // A daemon that chooses among backend servers must also take the delay of their network links into account.
       const serviceMs = load.serviceMs +
         responses.estimateDelay(route).onTimeMs;
       responses.send(
@@ -221,10 +225,11 @@
 }
 
 /**
- * Brings a request's objective and deadline forward by the time that its response will wait for the link. Otherwise
- * servers would run requests whose responses cannot arrive in time, at the cost of those that could.
+ * Brings a request's objective and deadline forward by the time that its response will wait for the network link.
+ * Otherwise servers would run requests whose responses cannot arrive before their deadline, at the cost of those that
+ * could.
  */
-function reserveLinkTime(
+function reserveTransmissionTime(
   request: RoutedRequest,
   { onTimeMs, lateMs }: TransmissionDelay,
   now: { nowMs: number; serviceMs: number },
--- a/packages/router/src/link_server_test.ts
+++ b/packages/router/src/link_server_test.ts
@@ -56,9 +56,9 @@
 
 describe("LinkServer", () => {
   describe("with a response that is still buffered for the link", () => {
-    // Guards against losing a finished response, so that the caller of another daemon is told that its request may have
-    // run: a stopping daemon counted the response as sent once it was written to the link, and exited while most of its
-    // bytes were still buffered in the process for a slow link.
+    // Guards against losing a finished response, so that the caller of another daemon receives the response that its
+    // request may have run: a stopping daemon counts the response as sent once it is written to the link, and exits
+    // while most of its bytes are still buffered in the process for a slow link.
     it("counts it as active until the other daemon has read it", async () => {
       const body = Buffer.alloc(LARGE_BYTES);
       const server = createServer({
--- a/packages/router/src/link_test.ts
+++ b/packages/router/src/link_test.ts
@@ -210,8 +210,8 @@
       expect(await lost).to.equal("sent");
     });
 
-    // Guards against an order that fails as "may have run" during a restart although no daemon has read it: the daemon
-    // reads its last request and closes the link while another order is being sent to it, and a closed connection does
+    // Guards against a request that fails as "may have run" during a restart although no daemon has read it: the daemon
+    // reads its last request and closes the link while another one is being sent to it, and a closed connection does
     // not show which requests were read before.
     it("with a goAway frame has certainly not run what it has not read", async () => {
       const read = sendOne(link);
@@ -238,7 +238,7 @@
 
   describe("a link that has become unresponsive", () => {
     // Guards against all requests to one daemon waiting for their deadlines while it answers other daemons: a
-    // connection broke without a reset, and later requests were sent on it as well. Many requests share a connection,
+    // connection breaks without a reset, and later requests are sent on it as well. Many requests share a connection,
     // so they must not each wait for it to time out.
     it("is replaced: retryable requests are given up, the others still get their outcomes, and later ones use a new link", async () => {
       const peer = await FakePeer.create();
--- a/packages/router/src/response_sender.ts
+++ b/packages/router/src/response_sender.ts
@@ -17,13 +17,13 @@
 } from "./link_codec.ts";
 import type { Outcome } from "./routed_request.ts";
 
-/** Responses up to this size are sent at once, in bytes: about 12 ms of a link of 10 Mbit/s. */
+/** Responses up to this size are sent at once, in bytes: about 12 ms of a network link of 10 Mbit/s. */
 const MAX_SMALL_BYTES = 16_384;
 /** How much of a large response is written at a time, in bytes: small messages wait for at most one chunk. */
 const CHUNK_BYTES = 32_768;
 /** Weight of the latest response in the moving average (EWMA) of a route's response size. */
-const SIZE_WEIGHT = 0.1;
-/** Share of the link's bandwidth for large responses; the rest is for small ones, requests and gossip. */
+const SIZE_EWMA_WEIGHT = 0.1;
+/** Share of the network link's bandwidth for large responses; the rest is for small ones, requests and gossip. */
 const LARGE_RESPONSE_SHARE = 0.9;
 
 const NO_DELAY: TransmissionDelay = { onTimeMs: 0, lateMs: 0 };
@@ -94,13 +94,16 @@
     return this.pacer.estimateDelay(size + pendingBytes, this.nowMs());
   }
 
-  /** Sends an outcome, at once or when it is its turn. */
+  /** Sends an outcome: at once, or, for a large response, when the pacer allows it. */
   send(target: ResponseTarget, outcome: Outcome, load: LoadReport): void {
     const { frames, id, route } = target;
     const size = outcome.kind === "answer" ? outcome.body.length : 0;
     if (outcome.kind === "answer") {
       const average = this.averageSizes.get(route) ?? size;
-      this.averageSizes.set(route, average + SIZE_WEIGHT * (size - average));
+      this.averageSizes.set(
+        route,
+        average + SIZE_EWMA_WEIGHT * (size - average),
+      );
     }
     if (outcome.kind !== "answer" || size <= MAX_SMALL_BYTES) {
       this.write(frames, encodeOutcome(id, outcome, load));
--- a/packages/router/src/response_sender_test.ts
+++ b/packages/router/src/response_sender_test.ts
@@ -13,7 +13,7 @@
 import { notRun, type Outcome } from "./routed_request.ts";
 
 const LOAD = { waitMs: 0, utilization: 0, serviceMs: 1, failureShare: 0 };
-/** Slow enough that a large response takes several turns of the event loop. */
+/** Bandwidth of the network link, so low that a large response takes several turns of the event loop. */
 const LINK_BYTES_PER_SECOND = 4_000_000;
 
 function createLarge(size: number): Extract<Outcome, { kind: "answer" }> {
@@ -70,8 +70,8 @@
       expect(received).to.deep.equal(large);
     });
 
-    // Guards against small responses that take as long as large ones of the same server: a large response was written
-    // to a slow link and a refusal right after it, and a link sends everything in the order in which it was written.
+    // Guards against small responses that take as long as large ones of the same server: a large response is written to
+    // a slow link and a refusal right after it, and a link sends everything in the order in which it is written.
     it("sends small outcomes before the rest of it", async () => {
       const large = createLarge(300_000);
       const received = await exchange([large, notRun("overloaded")]);
