--- a/packages/admission/src/cold_start_pacer_test.ts
+++ b/packages/admission/src/cold_start_pacer_test.ts
@@ -33,15 +33,15 @@
   load: { fromMs: number; untilMs: number; perSecond: number },
 ): number[] {
   const starts: number[] = [];
-  const endings: { id: number; atMs: number }[] = [];
+  const endings: { id: number; endsAtMs: number }[] = [];
   const start = (id: number, nowMs: number) => {
     starts.push(nowMs);
-    endings.push({ id, atMs: nowMs + WORK_MS });
+    endings.push({ id, endsAtMs: nowMs + WORK_MS });
   };
   const intervalMs = SECOND_MS / load.perSecond;
   let nextArrivalMs = load.fromMs;
   for (let nowMs = load.fromMs; nowMs < load.untilMs; nowMs += 1) {
-    endings.filter(({ atMs }) => atMs === nowMs).forEach(({ id }) =>
+    endings.filter(({ endsAtMs }) => endsAtMs === nowMs).forEach(({ id }) =>
       queue.finish(id, nowMs).run.forEach((next) => start(next, nowMs))
     );
     queue.advance(nowMs).run.forEach((id) => start(id, nowMs));
@@ -126,7 +126,9 @@
               const isPaced = pacer.isPacing(nowMs);
               pacer.recordStart(nowMs);
               starts = [...starts, nowMs];
-              const recent = starts.filter((atMs) => nowMs - atMs < SECOND_MS);
+              const recent = starts.filter((startedAtMs) =>
+                nowMs - startedAtMs < SECOND_MS
+              );
               expect(!isPaced || recent.length <= LIMIT).to.equal(true);
             }
           });
@@ -143,9 +145,9 @@
       pacer.setColdUntil(COLD_MS);
       const load = { fromMs: 0, untilMs: 5_000, perSecond: 200 };
       const starts = replay(queue, load);
-      const cold = starts.filter((atMs) => atMs < COLD_MS);
+      const cold = starts.filter((startedAtMs) => startedAtMs < COLD_MS);
       expect(countInOneSecond(cold)).to.be.within(LIMIT - 1, LIMIT);
-      const warm = starts.filter((atMs) => atMs >= COLD_MS);
+      const warm = starts.filter((startedAtMs) => startedAtMs >= COLD_MS);
       expect(warm.length).to.be.above(2 * cold.length);
     });
   });
--- a/packages/admission/src/work_queue_test.ts
+++ b/packages/admission/src/work_queue_test.ts
@@ -164,16 +164,18 @@
       const countOnTime = (perSecond: number) => {
         const queue = WorkQueue.create();
         queue.setSlots(slots);
-        const endings: { id: number; atMs: number }[] = [];
+        const endings: { id: number; endsAtMs: number }[] = [];
         const objectives = new Map<number, number>();
         let onTimeCount = 0;
         Array.from({ length: 10_000 }, (_, nowMs) => {
-          endings.filter(({ atMs }) => atMs === nowMs).forEach(({ id }) => {
-            onTimeCount += nowMs <= objectives.get(id)! ? 1 : 0;
-            queue.finish(id, nowMs).run.forEach((next) =>
-              endings.push({ id: next, atMs: nowMs + workMs })
-            );
-          });
+          endings.filter(({ endsAtMs }) => endsAtMs === nowMs).forEach(
+            ({ id }) => {
+              onTimeCount += nowMs <= objectives.get(id)! ? 1 : 0;
+              queue.finish(id, nowMs).run.forEach((next) =>
+                endings.push({ id: next, endsAtMs: nowMs + workMs })
+              );
+            },
+          );
           const arrivals = Math.floor((nowMs + 1) * perSecond / 1_000) -
             Math.floor(nowMs * perSecond / 1_000);
           Array.from({ length: arrivals }, (_, index) => {
@@ -187,7 +189,7 @@
               nowMs,
             );
             if (decision.kind === "run") {
-              endings.push({ id, atMs: nowMs + workMs });
+              endings.push({ id, endsAtMs: nowMs + workMs });
             }
           });
         });
