--- a/packages/admission/src/idempotency_ledger.ts
+++ b/packages/admission/src/idempotency_ledger.ts
@@ -68,8 +68,8 @@
    * @param request `idempotencyKey` identifies the request at this owner, also among those of other services and keys;
    *   `fingerprint` distinguishes another request that wrongly uses the same key; `firstAttempt` states
    *   that the caller has not sent this request before.
-   * @param at wall-clock times in milliseconds: now, and the start of the ownership lease under which this owner owns
-   *   the partition.
+   * @param at wall-clock times in milliseconds: now, and since when this owner has owned the partition of the request
+   *   (`leaseStartedAtMs`).
    */
   claim(
     request: {
