--- a/packages/admission/src/idempotency_ledger.ts
+++ b/packages/admission/src/idempotency_ledger.ts
@@ -1,16 +1,16 @@
 /**
  * Keeps recent non-idempotent requests, so that a caller's retry does not run again.
  *
- * Without it, a request may run twice under one idempotency key: the response to an order is lost, the buyer sends the
- * order again, and two lots are reserved. The ledger returns the first response to a retry, and *unknown* for requests
- * that it can't have a record of: a request first sent before this owner's ownership lease may have run at the previous
- * owner, and one older than the retention period may have run here.
+ * Without it, a request may run twice under one idempotency key: its response is lost, the caller sends it again, and
+ * it takes effect twice. The ledger returns the first response to a retry, and *unknown* for requests that it can't
+ * have a record of: a request first sent before this owner's ownership lease may have run at the previous owner, and
+ * one older than the retention period may have run here.
  *
  * @module
  */
 
 /** A response that is kept for retries. */
-export interface StoredAnswer {
+export interface StoredResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Uint8Array;
@@ -20,7 +20,7 @@
 export type AttemptClaim =
   | { readonly kind: "run" }
   | { readonly kind: "running" }
-  | { readonly kind: "answer"; readonly answer: StoredAnswer }
+  | { readonly kind: "answer"; readonly response: StoredResponse }
   | {
     readonly kind: "unknown";
     readonly reason: "no_stored_answer" | "before_tenure" | "before_memory";
@@ -31,13 +31,13 @@
   readonly fingerprint: string;
   readonly claimedAtMs: number;
   state: "running" | "answered" | "unknown";
-  answer: StoredAnswer | undefined;
+  storedResponse: StoredResponse | undefined;
 }
 
 /** Limits of a ledger. */
 export interface IdempotencyLimits {
   /** Retention period of a request, in milliseconds. */
-  readonly memoryMs: number;
+  readonly retentionMs: number;
   /** Maximum number of requests that are kept. */
   readonly entries: number;
   /** Maximum difference between the wall clocks of callers and hosts, in milliseconds. */
@@ -65,21 +65,23 @@
   /**
    * Claims the right to run a request.
    *
-   * @param request `fingerprint` distinguishes another request that wrongly uses the same key; `firstAttempt` states
+   * @param request `idempotencyKey` identifies the request at this owner, also among those of other services and keys;
+   *   `fingerprint` distinguishes another request that wrongly uses the same key; `firstAttempt` states
    *   that the caller has not sent this request before.
-   * @param at wall-clock times in milliseconds: now, and since when this owner owns the partition.
+   * @param at wall-clock times in milliseconds: now, and since when this owner has owned the partition of the request
+   *   (`leaseStartedAtMs`).
    */
   claim(
     request: {
-      name: string;
+      idempotencyKey: string;
       fingerprint: string;
       firstSentMs: number;
       firstAttempt: boolean;
     },
-    at: { nowMs: number; tenureSinceMs: number },
+    at: { nowMs: number; leaseStartedAtMs: number },
   ): AttemptClaim {
     this.evictOld(at.nowMs);
-    const known = this.entries.get(request.name);
+    const known = this.entries.get(request.idempotencyKey);
     if (known !== undefined) {
       return claimForRetry(known, request.fingerprint);
     }
@@ -88,7 +90,7 @@
     }
     if (
       !request.firstAttempt &&
-      request.firstSentMs <= at.tenureSinceMs + this.limits.clockSkewMs
+      request.firstSentMs <= at.leaseStartedAtMs + this.limits.clockSkewMs
     ) {
       return { kind: "unknown", reason: "before_tenure" };
     }
@@ -96,42 +98,45 @@
       fingerprint: request.fingerprint,
       claimedAtMs: at.nowMs,
       state: "running",
-      answer: undefined,
+      storedResponse: undefined,
     };
-    this.entries.set(request.name, entry);
+    this.entries.set(request.idempotencyKey, entry);
     return { kind: "run" };
   }
 
   /** Stores the response of a request that ran; `undefined` marks its outcome as unknown. */
-  recordAnswer(name: string, answer: StoredAnswer | undefined): void {
-    const entry = this.entries.get(name);
+  recordResponse(
+    idempotencyKey: string,
+    response: StoredResponse | undefined,
+  ): void {
+    const entry = this.entries.get(idempotencyKey);
     if (entry !== undefined) {
-      entry.state = answer === undefined ? "unknown" : "answered";
-      entry.answer = answer;
+      entry.state = response === undefined ? "unknown" : "answered";
+      entry.storedResponse = response;
     }
   }
 
   /** Records that a request may or may not have run. */
-  recordUnknown(name: string): void {
-    this.recordAnswer(name, undefined);
+  recordUnknown(idempotencyKey: string): void {
+    this.recordResponse(idempotencyKey, undefined);
   }
 
   /** Releases the claim of a request that certainly did not run, so that a retry may run. */
-  release(name: string): void {
-    this.entries.delete(name);
+  release(idempotencyKey: string): void {
+    this.entries.delete(idempotencyKey);
   }
 
   private evictOld(nowMs: number): void {
-    const cutoffMs = nowMs - this.limits.memoryMs;
+    const cutoffMs = nowMs - this.limits.retentionMs;
     // Entries are in the order of their claims, so the first one that is kept ends the search.
-    for (const [name, entry] of this.entries) {
+    for (const [idempotencyKey, entry] of this.entries) {
       const isFull = this.entries.size >= this.limits.entries;
       if (
         entry.state === "running" || (entry.claimedAtMs > cutoffMs && !isFull)
       ) {
         break;
       }
-      this.entries.delete(name);
+      this.entries.delete(idempotencyKey);
       // The latest time, by its caller's clock, at which the evicted request can have been sent first.
       this.evictedUpToMs = Math.max(
         this.evictedUpToMs,
@@ -148,7 +153,7 @@
   if (known.state === "running") {
     return { kind: "running" };
   }
-  return known.answer === undefined
+  return known.storedResponse === undefined
     ? { kind: "unknown", reason: "no_stored_answer" }
-    : { kind: "answer", answer: known.answer };
+    : { kind: "answer", response: known.storedResponse };
 }
--- a/packages/router/src/response_sender.ts
+++ b/packages/router/src/response_sender.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import {
-  type LinkDelay,
-  LinkPacer,
+  BandwidthPacer,
+  type TransmissionDelay,
   type WaitingResponse,
 } from "@bamboolink/admission";
 import type { FrameSocket } from "./frame_socket.ts";
@@ -17,16 +17,16 @@
 } from "./link_codec.ts";
 import type { Outcome } from "./routed_request.ts";
 
-/** Responses up to this size are sent at once, in bytes: about 12 ms of a link of 10 Mbit/s. */
+/** Responses up to this size are sent at once, in bytes: about 12 ms of a network link of 10 Mbit/s. */
 const MAX_SMALL_BYTES = 16_384;
 /** How much of a large response is written at a time, in bytes: small messages wait for at most one chunk. */
 const CHUNK_BYTES = 32_768;
 /** Weight of the latest response in the moving average (EWMA) of a route's response size. */
-const SIZE_WEIGHT = 0.1;
-/** Share of the link's bandwidth for large responses; the rest is for small ones, requests and gossip. */
+const SIZE_EWMA_WEIGHT = 0.1;
+/** Share of the network link's bandwidth for large responses; the rest is for small ones, requests and gossip. */
 const LARGE_RESPONSE_SHARE = 0.9;
 
-const NO_DELAY: LinkDelay = { onTimeMs: 0, lateMs: 0 };
+const NO_DELAY: TransmissionDelay = { onTimeMs: 0, lateMs: 0 };
 
 /** Where an outcome is sent, and its latency objective. */
 export interface ResponseTarget {
@@ -44,7 +44,7 @@
 
 /** Sends the outcomes of requests that one daemon runs for others. */
 export class ResponseSender {
-  private readonly pacer: LinkPacer<LargeResponse>;
+  private readonly pacer: BandwidthPacer<LargeResponse>;
   private readonly averageSizes = new Map<string, number>();
   /** Number of requests that are being run for other daemons, by route. */
   private readonly running = new Map<string, number>();
@@ -54,7 +54,9 @@
     linkBytesPerSecond: number,
     private readonly nowMs: () => number,
   ) {
-    this.pacer = LinkPacer.create(linkBytesPerSecond * LARGE_RESPONSE_SHARE);
+    this.pacer = BandwidthPacer.create(
+      linkBytesPerSecond * LARGE_RESPONSE_SHARE,
+    );
   }
 
   /**
@@ -80,7 +82,7 @@
   }
 
   /** Estimates how long a response of a route would take to be sent, in addition to the service time. */
-  estimateDelay(route: string): LinkDelay {
+  estimateDelay(route: string): TransmissionDelay {
     const size = this.averageSizes.get(route) ?? 0;
     if (size <= MAX_SMALL_BYTES) {
       return NO_DELAY;
@@ -92,13 +94,16 @@
     return this.pacer.estimateDelay(size + pendingBytes, this.nowMs());
   }
 
-  /** Sends an outcome, at once or when it is its turn. */
+  /** Sends an outcome: at once, or, for a large response, when the pacer allows it. */
   send(target: ResponseTarget, outcome: Outcome, load: LoadReport): void {
     const { frames, id, route } = target;
     const size = outcome.kind === "answer" ? outcome.body.length : 0;
     if (outcome.kind === "answer") {
       const average = this.averageSizes.get(route) ?? size;
-      this.averageSizes.set(route, average + SIZE_WEIGHT * (size - average));
+      this.averageSizes.set(
+        route,
+        average + SIZE_EWMA_WEIGHT * (size - average),
+      );
     }
     if (outcome.kind !== "answer" || size <= MAX_SMALL_BYTES) {
       this.write(frames, encodeOutcome(id, outcome, load));
