--- a/packages/keyspace/src/choose_arbiters.ts
+++ b/packages/keyspace/src/choose_arbiters.ts
@@ -15,7 +15,7 @@
   readonly daemon: string;
   readonly availabilityZone: string;
   /** Whether its backend server owns keys, in which case it may be the owner that has to be taken over. */
-  readonly isOwner: boolean;
+  readonly isOfService: boolean;
   /** Whether it reaches the store; one that does not can make promises, but can't take an owner over. */
   readonly reachesStore: boolean;
 }
@@ -31,7 +31,7 @@
   candidates: readonly ArbiterCandidate[],
 ): string[] {
   const ordered = candidates.toSorted((left, right) =>
-    Number(left.isOwner) - Number(right.isOwner) ||
+    Number(left.isOfService) - Number(right.isOfService) ||
     (left.daemon < right.daemon ? -1 : 1)
   );
   const staying = ordered
@@ -54,7 +54,7 @@
     candidate.reachesStore && !chosen.includes(candidate)
   );
   const zones = new Set(chosen.map(({ availabilityZone }) => availabilityZone));
-  return eligible.find(({ isOwner, availabilityZone }) =>
-    !isOwner && !zones.has(availabilityZone)
+  return eligible.find(({ isOfService, availabilityZone }) =>
+    !isOfService && !zones.has(availabilityZone)
   ) ?? eligible[0];
 }
--- a/packages/keyspace/src/choose_arbiters_test.ts
+++ b/packages/keyspace/src/choose_arbiters_test.ts
@@ -9,9 +9,9 @@
 function candidate(
   daemon: string,
   availabilityZone: string,
-  isOwner: boolean,
+  isOfService: boolean,
 ): ArbiterCandidate {
-  return { daemon, availabilityZone, isOwner, reachesStore: true };
+  return { daemon, availabilityZone, isOfService, reachesStore: true };
 }
 
 const FLEET = [
@@ -40,7 +40,7 @@
   });
 
   it("chooses owners where there are no other daemons", () => {
-    const owners = FLEET.filter(({ isOwner }) => isOwner);
+    const owners = FLEET.filter(({ isOfService }) => isOfService);
     expect(chooseArbiters([], owners)).to.deep.equal(["a", "e"]);
   });
 
--- a/packages/keyspace/src/grant_tracker.ts
+++ b/packages/keyspace/src/grant_tracker.ts
@@ -279,7 +279,7 @@
   }
 
   /** For how long the backend server certainly holds any key, in milliseconds; 0 where it may hold none. */
-  remainingHoldMs(nowMs: number): number {
+  certainHoldMs(nowMs: number): number {
     const remainingMs = this.holdsUntil.segments.map(({ value }) =>
       value - nowMs
     );
--- a/packages/keyspace/src/incarnation_tracker.ts
+++ b/packages/keyspace/src/incarnation_tracker.ts
@@ -88,7 +88,7 @@
   }
 
   /** When its last heartbeat was received, on the daemon's clock. */
-  get lastHeartbeatMs(): number {
+  get lastHeartbeatAtMs(): number {
     return this.receivedAtMs;
   }
 
@@ -121,14 +121,14 @@
   /**
    * Classifies an unverified heartbeat by the result of a probe of the address.
    *
-   * @param limits `arrivedMs`: when the heartbeat arrived, on the daemon's clock.
+   * @param limits `arrivedAtMs`: when the heartbeat arrived, on the daemon's clock.
    */
   classifySuccession(
     heartbeat: Heartbeat,
     probed: ProbeResult,
-    limits: SuccessionTimeouts & { readonly arrivedMs: number },
+    limits: SuccessionTimeouts & { readonly arrivedAtMs: number },
   ): Succession {
-    const sinceHeartbeatMs = limits.arrivedMs - this.receivedAtMs;
+    const sinceHeartbeatMs = limits.arrivedAtMs - this.receivedAtMs;
     const isUnresponsive = sinceHeartbeatMs > limits.unresponsiveMs;
     if (probed.kind === "refused") {
       return isUnresponsive ? "proved" : "rejected";
--- a/packages/keyspace/src/incarnation_tracker_test.ts
+++ b/packages/keyspace/src/incarnation_tracker_test.ts
@@ -75,7 +75,7 @@
     it("accepts the process that responds at the address at once", () => {
       const tracker = createTracker();
       const found = { ...probed, born: 900 };
-      const limits = { ...timeouts, arrivedMs: 10 };
+      const limits = { ...timeouts, arrivedAtMs: 10 };
       const succession = tracker.classifySuccession(next, found, limits);
       expect(succession).to.equal("proved");
       tracker.acceptSuccessor(next, { succession, nowMs: 10 });
@@ -90,7 +90,7 @@
     it("rejects a delayed heartbeat while the running process sends heartbeats", () => {
       const tracker = IncarnationTracker.create();
       tracker.accept(next, 0);
-      const limits = { ...timeouts, arrivedMs: 900 };
+      const limits = { ...timeouts, arrivedAtMs: 900 };
       expect(tracker.classifySuccession(former, probed, limits)).to.equal(
         "rejected",
       );
@@ -98,7 +98,7 @@
 
     it("assumes a new process once the former one is overdue, without proof", () => {
       const tracker = createTracker();
-      const limits = { ...timeouts, arrivedMs: 1_301 };
+      const limits = { ...timeouts, arrivedAtMs: 1_301 };
       const succession = tracker.classifySuccession(next, probed, limits);
       expect(succession).to.equal("assumed");
       tracker.acceptSuccessor(next, { succession, nowMs: 1_301 });
--- a/packages/keyspace/src/plan_assignment.ts
+++ b/packages/keyspace/src/plan_assignment.ts
@@ -15,7 +15,7 @@
 /** What a daemon has observed of a service none of whose keys has had an owner yet. */
 export interface FirstAssignmentState {
   /** Daemons that are known by name and from which no message was received yet. */
-  readonly unseenDaemons: number;
+  readonly absentDaemons: number;
   /** Daemons beside a backend server of the service that has not announced itself yet. */
   readonly unannouncedBackends: number;
   /** Backend servers that can own keys. */
@@ -30,8 +30,8 @@
  * cold.
  */
 export function isFirstAssignmentDue(state: FirstAssignmentState): boolean {
-  const { unseenDaemons, unannouncedBackends, candidates, uptimeMs } = state;
-  const isComplete = unseenDaemons === 0 && unannouncedBackends === 0;
+  const { absentDaemons, unannouncedBackends, candidates, uptimeMs } = state;
+  const isComplete = absentDaemons === 0 && unannouncedBackends === 0;
   return candidates > 0 &&
     (isComplete || uptimeMs >= FIRST_ASSIGNMENT_TIMEOUT_MS);
 }
--- a/packages/keyspace/src/plan_assignment_test.ts
+++ b/packages/keyspace/src/plan_assignment_test.ts
@@ -10,7 +10,7 @@
 } from "./plan_assignment.ts";
 
 const state: FirstAssignmentState = {
-  unseenDaemons: 0,
+  absentDaemons: 0,
   unannouncedBackends: 0,
   candidates: 4,
   uptimeMs: 1_500,
@@ -29,7 +29,7 @@
   });
 
   it("waits for daemons that were not seen yet", () => {
-    expect(isFirstAssignmentDue({ ...state, unseenDaemons: 1 })).to.equal(
+    expect(isFirstAssignmentDue({ ...state, absentDaemons: 1 })).to.equal(
       false,
     );
   });
@@ -37,7 +37,7 @@
   it("is due after a timeout", () => {
     const late = {
       ...state,
-      unseenDaemons: 1,
+      absentDaemons: 1,
       unannouncedBackends: 1,
       uptimeMs: 6_000,
     };
--- a/packages/keyspace/src/testing/ownership_simulation.ts
+++ b/packages/keyspace/src/testing/ownership_simulation.ts
@@ -523,7 +523,7 @@
         heartbeat,
         { kind: "answered", instance, born: undefined },
         {
-          arrivedMs: nowMs,
+          arrivedAtMs: nowMs,
           overdueMs: HEARTBEAT_OVERDUE_MS,
           unresponsiveMs: UNRESPONSIVE_MS,
         },
--- a/packages/router/src/ownership_leader.ts
+++ b/packages/router/src/assignment_manager.ts
@@ -17,7 +17,7 @@
 } from "@bamboolink/keyspace";
 import type { MemberView } from "@bamboolink/membership";
 import type { BackendManager } from "./backend_manager.ts";
-import { bootMs, steadyMs } from "./clock.ts";
+import { bootMs, monotonicMs } from "./clock.ts";
 import type { OwnershipDirectory } from "./ownership_directory.ts";
 import type { RecordInspector } from "./record_inspector.ts";
 import type { RecordWriter } from "./record_writer.ts";
@@ -30,7 +30,7 @@
 const MIN_OBSERVATION_MS = 1_500;
 
 /** Dependencies of the ownership leader. */
-export interface OwnershipLeaderContext {
+export interface AssignmentManagerContext {
   readonly view: MemberView;
   readonly directory: OwnershipDirectory;
   readonly inspector: RecordInspector;
@@ -39,18 +39,18 @@
 }
 
 /** One daemon's part in assigning keys, as the leader or as an arbiter. */
-export class OwnershipLeader {
+export class AssignmentManager {
   private readonly takeoverTimers = new Map<string, TakeoverTimers>();
   private readonly arbiterStates = new Map<string, ArbiterState>();
-  private readonly startedAtMs = steadyMs();
+  private readonly startedAtMs = monotonicMs();
   private readonly bootedAtMs = bootMs();
   private registrationRevision = Infinity;
 
-  private constructor(private readonly context: OwnershipLeaderContext) {}
+  private constructor(private readonly context: AssignmentManagerContext) {}
 
   /** Creates a leader that knows no record yet. */
-  static create(context: OwnershipLeaderContext): OwnershipLeader {
-    return new OwnershipLeader(context);
+  static create(context: AssignmentManagerContext): AssignmentManager {
+    return new AssignmentManager(context);
   }
 
   /** Sets a revision of the store that was written by this process. */
@@ -99,14 +99,14 @@
   /** Any daemon may write, since writes are conditional; only one of them does, to save store calls. */
   private isLeading(): boolean {
     const { view } = this.context;
-    const hasObserved = steadyMs() - this.startedAtMs >= MIN_OBSERVATION_MS;
+    const hasObserved = monotonicMs() - this.startedAtMs >= MIN_OBSERVATION_MS;
     return hasObserved && view.ownReport.reachesStore &&
-      this.findLeader() === undefined;
+      this.findOtherLeader() === undefined;
   }
 
   /** The leading daemon, if it is another one: the first in the order of addresses that reaches the store. */
-  findLeader(): string | undefined {
-    const firstAddress = this.context.view.alive(steadyMs())
+  findOtherLeader(): string | undefined {
+    const firstAddress = this.context.view.alive(monotonicMs())
       .filter(({ reachesStore, phase }) => reachesStore && phase !== "stopping")
       .map(({ address }) => address)
       .reduce(
@@ -118,7 +118,7 @@
 
   /** The shared reader, if any daemon reaches the store: the leading daemon, which reads for itself, too. */
   findReader(): string | undefined {
-    return this.findLeader() ??
+    return this.findOtherLeader() ??
       (this.context.view.ownReport.reachesStore ? this.ownAddress : undefined);
   }
 
@@ -226,11 +226,11 @@
     record: OwnershipRecord,
   ): string[] {
     const { view } = this.context;
-    const candidates = [...view.alive(steadyMs()), view.ownReport].map(
+    const candidates = [...view.alive(monotonicMs()), view.ownReport].map(
       (report) => ({
         daemon: report.address,
         availabilityZone: report.availabilityZone,
-        isOwner: report.service === service,
+        isOfService: report.service === service,
         reachesStore: report.reachesStore,
       }),
     );
@@ -240,13 +240,13 @@
 
   private assignFirst(service: string): void {
     const { view } = this.context;
-    const nowMs = steadyMs();
+    const nowMs = monotonicMs();
     const alive = view.alive(nowMs);
     const members = [...alive, view.ownReport]
       .filter((report) => report.service === service);
     const candidates = this.allCandidates(service);
     const isDue = isFirstAssignmentDue({
-      unseenDaemons: view.knownAddresses.length - alive.length,
+      absentDaemons: view.knownAddresses.length - alive.length,
       unannouncedBackends: members.filter(({ phase }) =>
         phase === "absent"
       ).length,
@@ -269,7 +269,7 @@
   /** Seals unresponsive owners; returns whether there are any. */
   private sealLost(service: string, known: OwnershipRecord): boolean {
     const { view } = this.context;
-    const nowMs = steadyMs();
+    const nowMs = monotonicMs();
     const observedMs = nowMs - this.startedAtMs;
     const lost = known.daemons.filter((daemon) =>
       !known.isSealed(daemon) &&
@@ -313,7 +313,7 @@
 
 /** The live backend servers of a service that may own keys, without the one on this host. */
 export function findCandidates(view: MemberView, service: string): Candidate[] {
-  return view.alive(steadyMs())
+  return view.alive(monotonicMs())
     .filter((report) => report.service === service && report.phase === "ready")
     .map(({ address, slots }) => ({ daemon: address, weight: slots }));
 }
--- a/packages/router/src/backend_manager.ts
+++ b/packages/router/src/backend_manager.ts
@@ -15,7 +15,7 @@
 } from "@bamboolink/keyspace";
 import type { Logger } from "@bamboolink/logger";
 import type { MemberPhase } from "@bamboolink/membership";
-import { bootMs, steadyMs } from "./clock.ts";
+import { bootMs, monotonicMs } from "./clock.ts";
 import type { BackendSuspicion, LocalBackend } from "./local_backend.ts";
 import type {
   BackendDeparture,
@@ -40,13 +40,13 @@
 const DRAIN_FORWARD_SHARE = 0.75;
 
 /** Evacuation state of the own availability zone, as operators have set it. */
-export interface EvacuationState {
+export interface LocalEvacuation {
   /** Whether the zone is evacuated, so that the backend server on this host is to get no further requests or keys. */
   readonly isEvacuated: boolean;
   /** When the handover of keys and the forwarding of queued requests end, on the monotonic clock, in milliseconds. */
   readonly handOverUntilMs: number;
   /** Waits until it is known which zones are evacuated; returns false if that is still unknown. */
-  awaitSettled(): Promise<boolean>;
+  awaitKnown(): Promise<boolean>;
 }
 
 /** Dependencies of the backend manager. */
@@ -55,7 +55,7 @@
   readonly backend: LocalBackend;
   readonly grants: GrantTracker;
   readonly lease: OwnershipLease;
-  readonly evacuation: EvacuationState;
+  readonly evacuation: LocalEvacuation;
   /** Time from the start of a drain until the backend server may get no more requests, in milliseconds. */
   readonly drainMs: () => number;
   /** Probes which incarnation responds at the address of the backend server of a service. */
@@ -137,7 +137,7 @@
 
   /** Time since the last heartbeat, in milliseconds. */
   sinceLastHeartbeatMs(): number {
-    return bootMs() - this.incarnations.lastHeartbeatMs;
+    return bootMs() - this.incarnations.lastHeartbeatAtMs;
   }
 
   /** Until when requests may be forwarded to a draining or evacuated backend server, on the monotonic clock. */
@@ -167,7 +167,7 @@
     heartbeat: BackendHeartbeat,
   ): Promise<HeartbeatResponse> {
     const { instance, service } = heartbeat;
-    if (!await this.context.evacuation.awaitSettled()) {
+    if (!await this.context.evacuation.awaitKnown()) {
       // A daemon that has just started must not accept requests for an evacuated backend server.
       return { kind: "unacknowledged" };
     }
@@ -181,7 +181,7 @@
     }
     const mustDelay = this.mayDelayDrain(heartbeat) &&
       !await this.context.beforeDrain() &&
-      this.context.grants.remainingHoldMs(bootMs()) > MIN_HOLD_MS;
+      this.context.grants.certainHoldMs(bootMs()) > MIN_HOLD_MS;
     if (mustDelay) {
       this.context.logger.log("leaving_not_acknowledged", {
         instance: heartbeat.instance,
@@ -357,7 +357,7 @@
   private updateColdTime(
     { instance, service, coldMs }: BackendHeartbeat,
   ): void {
-    const nowMs = steadyMs();
+    const nowMs = monotonicMs();
     if (coldMs > 0 && nowMs >= this.coldEndsAtMs) {
       const most_per_second = this.context.coldLimit(service);
       this.context.logger.log("backend_cold", {
@@ -375,7 +375,7 @@
     const { lastHeartbeat } = this;
     const isDraining = phase === "draining";
     this.drainStartedAtMs = isDraining
-      ? Math.min(this.drainStartedAtMs, steadyMs())
+      ? Math.min(this.drainStartedAtMs, monotonicMs())
       : Infinity;
     backend.updateIdentity(
       lastHeartbeat === undefined || phase === "absent" ? undefined : {
@@ -407,7 +407,7 @@
   private async verifySuccession(
     heartbeat: BackendHeartbeat,
   ): Promise<Succession> {
-    const arrivedMs = bootMs();
+    const arrivedAtMs = bootMs();
     const knownIncarnation = this.incarnations.current;
     const found = await this.context.probe(this.lastHeartbeat?.service ?? "");
     if (knownIncarnation !== this.incarnations.current) {
@@ -415,7 +415,7 @@
       return "rejected";
     }
     return this.incarnations.classifySuccession(heartbeat, found, {
-      arrivedMs,
+      arrivedAtMs,
       overdueMs: this.context.heartbeatIntervalMs() * OVERDUE_FACTOR,
       unresponsiveMs: INCARNATION_TIMEOUT_MS,
     });
--- a/packages/router/src/backend_manager_test.ts
+++ b/packages/router/src/backend_manager_test.ts
@@ -13,8 +13,8 @@
 import { Logger } from "@bamboolink/logger";
 import {
   BackendManager,
-  type EvacuationState,
   type HeartbeatResponse,
+  type LocalEvacuation,
 } from "./backend_manager.ts";
 import { bootMs } from "./clock.ts";
 import { LocalBackend } from "./local_backend.ts";
@@ -28,12 +28,12 @@
 const OWN_RANGE = { from: 0, to: 99 };
 
 function createEvacuation(): {
-  -readonly [Name in keyof EvacuationState]: EvacuationState[Name];
+  -readonly [Name in keyof LocalEvacuation]: LocalEvacuation[Name];
 } {
   return {
     isEvacuated: false,
     handOverUntilMs: Infinity,
-    awaitSettled: () => Promise.resolve(true),
+    awaitKnown: () => Promise.resolve(true),
   };
 }
 
@@ -44,7 +44,7 @@
     beforeDrain?: () => boolean;
     probe?: () => Promise<ProbeResult>;
     heartbeatMs?: number;
-    evacuation?: EvacuationState;
+    evacuation?: LocalEvacuation;
   } = {},
 ): BackendManager {
   const releaseAll = () => {
@@ -185,7 +185,7 @@
     it("acknowledges nothing until it is known which zones are evacuated", async () => {
       const { grants, lease } = createOwner();
       const evacuation = createEvacuation();
-      evacuation.awaitSettled = () => Promise.resolve(false);
+      evacuation.awaitKnown = () => Promise.resolve(false);
       const manager = createManager(grants, lease, { evacuation });
       const response = await manager.handleHeartbeat(heartbeat);
       expect(response.kind).to.equal("unacknowledged");
--- a/packages/router/src/clock.ts
+++ b/packages/router/src/clock.ts
@@ -19,7 +19,7 @@
 export const bootMs: ReadClock = openBootClock() ?? createFallbackClock();
 
 /** The monotonic clock in milliseconds, for durations within one request. */
-export function steadyMs(): number {
+export function monotonicMs(): number {
   return performance.now();
 }
 
--- a/packages/router/src/configuration_manager.ts
+++ b/packages/router/src/configuration_manager.ts
@@ -8,7 +8,7 @@
 import type { MemberReport } from "@bamboolink/membership";
 import { PrefixRouter } from "@bamboolink/traffic";
 import type { TrafficConfiguration, TrafficService } from "@bamboolink/types";
-import { steadyMs } from "./clock.ts";
+import { monotonicMs } from "./clock.ts";
 import type { PeerClient } from "./peer_client.ts";
 import type { ConfigurationDocument } from "./ports/configuration_document.ts";
 
@@ -33,7 +33,7 @@
 export class ConfigurationManager {
   private current: ConfigurationInForce | undefined;
   private isFetching = false;
-  private inForceSinceMs = steadyMs();
+  private inForceSinceMs = monotonicMs();
 
   private constructor(private readonly context: ConfigurationManagerContext) {}
 
@@ -111,7 +111,7 @@
       ),
       text: origin.text,
     };
-    this.inForceSinceMs = steadyMs();
+    this.inForceSinceMs = monotonicMs();
     this.context.onChange(this.current);
   }
 }
--- a/packages/router/src/evacuation_manager.ts
+++ b/packages/router/src/evacuation_manager.ts
@@ -88,20 +88,20 @@
   }
 
   /** Whether the evacuated zones are known, or the time to learn them has run out. */
-  get isSettled(): boolean {
+  get isKnownOrAssumed(): boolean {
     return this.evacuations.isKnown ||
       this.context.nowMs() - this.startedAtMs > MAX_UNKNOWN_MS;
   }
 
   /** Waits a limited time until `isSettled`; returns whether it is. */
-  async awaitSettled(): Promise<boolean> {
+  async awaitKnown(): Promise<boolean> {
     const deadlineMs = this.context.nowMs() + MAX_HOLD_BACK_MS;
-    while (!this.isSettled && this.context.nowMs() < deadlineMs) {
+    while (!this.isKnownOrAssumed && this.context.nowMs() < deadlineMs) {
       await new Promise((resolve) =>
         setTimeout(resolve, UPDATE_REQUEST_INTERVAL_MS / 4)
       );
     }
-    return this.isSettled;
+    return this.isKnownOrAssumed;
   }
 
   /** Applies a full listing of the store, in which the age of each evacuation is unknown. */
@@ -140,7 +140,7 @@
   tick(): void {
     const nowMs = this.context.nowMs();
     if (
-      !this.isSettled &&
+      !this.isKnownOrAssumed &&
       nowMs - this.requestedAtMs >= UPDATE_REQUEST_INTERVAL_MS
     ) {
       this.requestedAtMs = nowMs;
--- a/packages/router/src/evacuation_manager_test.ts
+++ b/packages/router/src/evacuation_manager_test.ts
@@ -107,20 +107,20 @@
     // Guards against a starting daemon sending requests to an evacuated server before it knows the evacuated zones.
     it("is not settled and requests an update", () => {
       const { manager, counts, advance } = createManager();
-      expect(manager.isSettled).to.equal(false);
+      expect(manager.isKnownOrAssumed).to.equal(false);
       advance(SECOND_MS);
       advance(SECOND_MS);
       expect(counts.requested).to.equal(2);
       expect(manager.createUpdate()).to.equal(undefined);
       manager.applyListing({ revision: 0, zones: [] });
-      expect(manager.isSettled).to.equal(true);
+      expect(manager.isKnownOrAssumed).to.equal(true);
     });
 
     // Guards against a fleet that starts while the store is unreachable serving no requests.
     it("is settled after a time limit nevertheless", () => {
       const { manager, advance } = createManager();
       advance(4 * SECOND_MS);
-      expect(manager.isSettled).to.equal(true);
+      expect(manager.isKnownOrAssumed).to.equal(true);
       expect(manager.isEvacuated).to.equal(false);
     });
   });
--- a/packages/router/src/forwarder.ts
+++ b/packages/router/src/forwarder.ts
@@ -7,7 +7,7 @@
 import type { Logger } from "@bamboolink/logger";
 import { AcknowledgementTimes } from "./acknowledgement_times.ts";
 import type { Cancellation } from "./cancellation.ts";
-import { steadyMs } from "./clock.ts";
+import { monotonicMs } from "./clock.ts";
 import { LinkClient, type LinkRequest } from "./link_client.ts";
 import type { LoadReport } from "./link_codec.ts";
 import {
@@ -61,7 +61,7 @@
     }
     const { daemon } = to;
     const link = this.acquireLink(daemon);
-    const sentAtMs = steadyMs();
+    const sentAtMs = monotonicMs();
     return new Promise((resolve) => {
       const finish = (outcome: Outcome) => {
         cancellation.remove(cancel);
@@ -75,7 +75,7 @@
       };
       const id = link.send(request, {
         onAcknowledged: () =>
-          this.acknowledgements.record(steadyMs() - sentAtMs),
+          this.acknowledgements.record(monotonicMs() - sentAtMs),
         onOutcome: (outcome, load) => {
           this.context.onLoad(daemon, request.route, load);
           finish(outcome);
@@ -97,7 +97,7 @@
 
   /** Abandons requests at unresponsive daemons, and closes idle links. Called by a timer. */
   tick(): void {
-    const nowMs = steadyMs();
+    const nowMs = monotonicMs();
     this.links.forEach((link, daemon) =>
       this.checkLink(link, { daemon, nowMs })
     );
@@ -173,7 +173,7 @@
     if (known !== undefined) {
       this.retired.push(known);
     }
-    const link = LinkClient.create(daemon, steadyMs);
+    const link = LinkClient.create(daemon, monotonicMs);
     this.links.set(daemon, link);
     return link;
   }
--- a/packages/router/src/gossip_node.ts
+++ b/packages/router/src/gossip_node.ts
@@ -15,7 +15,7 @@
   type MemberView,
   sampleWithoutReplacement,
 } from "@bamboolink/membership";
-import { steadyMs } from "./clock.ts";
+import { monotonicMs } from "./clock.ts";
 import {
   type Datagram,
   decodeDatagram,
@@ -81,7 +81,7 @@
   runRound(): void {
     const { view, random } = this.context;
     view.updateOwnReport(this.context.describeSelf());
-    const targets = chooseGossipTargets(view, { nowMs: steadyMs(), random });
+    const targets = chooseGossipTargets(view, { nowMs: monotonicMs(), random });
     this.sendGossip(targets);
   }
 
@@ -89,7 +89,7 @@
   announce(): void {
     const { view } = this.context;
     view.updateOwnReport(this.context.describeSelf());
-    this.sendGossip(view.alive(steadyMs()).map(({ address }) => address));
+    this.sendGossip(view.alive(monotonicMs()).map(({ address }) => address));
   }
 
   /** Sends a datagram that is not gossip to one daemon. */
@@ -100,14 +100,14 @@
   /** Sends a datagram that is not gossip to all alive daemons. */
   broadcast(datagram: Datagram): void {
     const bytes = encodeDatagram(datagram);
-    this.context.view.alive(steadyMs())
+    this.context.view.alive(monotonicMs())
       .forEach(({ address }) => this.send(bytes, address));
   }
 
   /** Sends a datagram that is not gossip to a few alive daemons, chosen at random each time. */
   sendToSome(datagram: Datagram): void {
     const { view, random } = this.context;
-    const alive = view.alive(steadyMs());
+    const alive = view.alive(monotonicMs());
     sampleWithoutReplacement(alive, { count: SUBSET_SIZE, random })
       .forEach(({ address }) => this.sendDatagram(datagram, address));
   }
@@ -119,8 +119,8 @@
   private sendGossip(addresses: readonly string[]): void {
     const { view, random } = this.context;
     const sender = view.ownReport.address;
-    const reports = view.chooseReports({ nowMs: steadyMs(), random });
-    const digests = view.chooseDigests({ nowMs: steadyMs(), random });
+    const reports = view.chooseReports({ nowMs: monotonicMs(), random });
+    const digests = view.chooseDigests({ nowMs: monotonicMs(), random });
     const bytes = encodeGossip({ sender, reports, digests });
     addresses.forEach((address) => this.send(bytes, address));
   }
@@ -159,7 +159,7 @@
             left_out: skippedReports,
           });
         }
-        const nowMs = steadyMs();
+        const nowMs = monotonicMs();
         const newReports = view.merge(reports, nowMs);
         this.requestReports(sender, view.mergeDigests(digests, nowMs));
         if (newReports.length > 0) {
@@ -175,7 +175,7 @@
    * some daemons after 10 s.
    */
   private requestReports(peer: string, names: number[]): void {
-    const nowMs = steadyMs();
+    const nowMs = monotonicMs();
     if (
       names.length === 0 ||
       nowMs - this.requestedAtMs < REPORT_REQUEST_INTERVAL_MS
--- a/packages/router/src/handover_coordinator.ts
+++ b/packages/router/src/handover_coordinator.ts
@@ -70,7 +70,7 @@
   }
 
   /** The daemons from which keys are expected. */
-  expectedSenders(nowMs: number): string[] {
+  expectedSources(nowMs: number): string[] {
     return [...this.expectations]
       .filter(([, { expiresAtMs }]) => nowMs < expiresAtMs)
       .map(([sender]) => sender);
@@ -81,7 +81,7 @@
     const { arrivalCount } = this;
     return this.waitUntil(() =>
       this.arrivalCount > arrivalCount ||
-      this.expectedSenders(now()).length === 0
+      this.expectedSources(now()).length === 0
     );
   }
 
--- a/packages/router/src/ingress.ts
+++ b/packages/router/src/ingress.ts
@@ -25,7 +25,7 @@
 import type { CallerLimits, TrafficRoute } from "@bamboolink/types";
 import type { FinalOutcome } from "./attempt_history.ts";
 import { Cancellation } from "./cancellation.ts";
-import { steadyMs } from "./clock.ts";
+import { monotonicMs } from "./clock.ts";
 import type {
   ConfigurationInForce,
   ConfigurationManager,
@@ -194,7 +194,7 @@
     response: ServerResponse,
   ): Promise<string | undefined> {
     const { protocol, configuration, metrics, lag } = this.context;
-    const arrivedAtMs = steadyMs() - lag.currentMs;
+    const arrivedAtMs = monotonicMs() - lag.currentMs;
     response.sendDate = false;
     await lag.awaitPendingReads({ isFirst: this.isFirst(incoming.socket) });
     if (hasDisconnected(incoming)) {
@@ -240,7 +240,7 @@
     metrics.count("bamboolink_requests", { route: route.name, ended });
     metrics.recordLatency(
       "bamboolink_request_seconds",
-      steadyMs() - arrivedAtMs,
+      monotonicMs() - arrivedAtMs,
       { route: route.name },
     );
     return route.name;
@@ -260,7 +260,7 @@
       host: headers.host,
       path: withoutQuery(url),
       version: configuration.version,
-      version_age_ms: Math.round(configuration.ageMs(steadyMs())),
+      version_age_ms: Math.round(configuration.ageMs(monotonicMs())),
     });
     metrics.count("bamboolink_rejected_requests", { reason: outcome.kind });
     this.refuse(response, outcome, request);
@@ -409,7 +409,7 @@
     const cancellation = Cancellation.create();
     const timer = setTimeout(
       () => cancellation.cancel("deadline"),
-      Math.max(0, routed.deadlineAtMs - steadyMs()),
+      Math.max(0, routed.deadlineAtMs - monotonicMs()),
     );
     const cancelOnClose = () => cancellation.cancel("cancelled");
     response.once("close", cancelOnClose);
@@ -448,8 +448,8 @@
         ? outcome.waitMs
         : this.sampleRetryAfterMs({
           waitMs: outcome.waitMs,
-          objectiveRemainingMs: routed.latestStartAtMs - steadyMs(),
-          remainingMs: routed.callerDeadlineAtMs - steadyMs(),
+          objectiveRemainingMs: routed.latestStartAtMs - monotonicMs(),
+          remainingMs: routed.callerDeadlineAtMs - monotonicMs(),
           isTransient: TRANSIENT_REASONS.has(outcome.reason),
         });
       logger.log("request_not_run", {
--- a/packages/router/src/key_rebalancer.ts
+++ b/packages/router/src/key_rebalancer.ts
@@ -11,7 +11,7 @@
 import type { Logger } from "@bamboolink/logger";
 import type { MemberReport, MemberView } from "@bamboolink/membership";
 import type { BackendManager } from "./backend_manager.ts";
-import { steadyMs } from "./clock.ts";
+import { monotonicMs } from "./clock.ts";
 import type { HandoverCoordinator } from "./handover_coordinator.ts";
 import type { LocalBackend } from "./local_backend.ts";
 import type { OwnershipDirectory } from "./ownership_directory.ts";
@@ -42,7 +42,7 @@
 /** Plans and begins moves of keys. */
 export class KeyRebalancer {
   private plannedMoves: readonly PlannedMove[] = [];
-  private begunMoves: readonly PlannedMove[] = [];
+  private lastBegunMoves: readonly PlannedMove[] = [];
   private lastPlannedAtMs = -Infinity;
 
   private constructor(private readonly context: KeyRebalancerContext) {}
@@ -53,8 +53,8 @@
   }
 
   /** The moves that were begun last, with the new owner of each range. */
-  get destinations(): readonly PlannedMove[] {
-    return this.begunMoves;
+  get begunMoves(): readonly PlannedMove[] {
+    return this.lastBegunMoves;
   }
 
   /** Plans moves of the keys with the highest load while the own backend server is more loaded than others. */
@@ -62,7 +62,7 @@
     const { grants, backend, view, backendManager, logger, leaseManager } =
       this.context;
     const service = this.context.ownService();
-    const nowMs = steadyMs();
+    const nowMs = monotonicMs();
     if (
       service === undefined ||
       nowMs - this.lastPlannedAtMs < REBALANCE_INTERVAL_MS
@@ -159,9 +159,9 @@
     const service = this.context.ownService();
     if (
       service !== undefined &&
-      await this.context.leaseManager.checkStoreReachable(service)
+      await this.context.leaseManager.confirmKeysMovable(service)
     ) {
-      this.begunMoves = plannedMoves;
+      this.lastBegunMoves = plannedMoves;
       this.context.grants.beginRelease(plannedMoves);
     }
   }
--- a/packages/router/src/local_backend.ts
+++ b/packages/router/src/local_backend.ts
@@ -19,7 +19,7 @@
 import type { Logger } from "@bamboolink/logger";
 import type { MemberPhase } from "@bamboolink/membership";
 import type { Cancellation } from "./cancellation.ts";
-import { bootMs, steadyMs } from "./clock.ts";
+import { bootMs, monotonicMs } from "./clock.ts";
 import { ConnectionPool } from "./connection_pool.ts";
 import type { Connection, ExchangeResult } from "./exchange.ts";
 import { selectResponseHeaders } from "./http_headers.ts";
@@ -138,7 +138,7 @@
       this.pacer.setColdUntil(identity.coldUntilMs);
     }
     this.queue.setSlots(identity?.slots ?? 0);
-    this.apply(this.queue.advance(steadyMs()));
+    this.apply(this.queue.advance(monotonicMs()));
   }
 
   /** Returns the backend server's load, and the average time of a route's requests there. */
@@ -153,7 +153,7 @@
 
   /** Estimated wait of a request that arrives now, in milliseconds. */
   get waitMs(): number {
-    const nowMs = steadyMs();
+    const nowMs = monotonicMs();
     if (nowMs - this.wait.computedAtMs > WAIT_CACHE_TTL_MS) {
       // Without slots the wait is infinite, which can't be encoded. The phase already keeps others from sending.
       const hasSlots = (this.identity?.slots ?? 0) > 0;
@@ -180,7 +180,7 @@
     const slots = this.identity?.slots ?? 0;
     return slots === 0 ? 0 : Math.max(
       this.meter.offeredPerSecondMs / (slots * 1_000),
-      this.pacer.utilization(steadyMs()),
+      this.pacer.utilization(monotonicMs()),
     );
   }
 
@@ -201,7 +201,7 @@
       offered,
       finished,
       slots: this.identity?.slots ?? 0,
-      is_cold: this.pacer.isPacing(steadyMs()) ? 1 : 0,
+      is_cold: this.pacer.isPacing(monotonicMs()) ? 1 : 0,
       wait_ms: Math.round(this.waitMs),
       service_ms: Math.round(this.times.averageMs),
       utilization: Math.round(this.utilization * 100) / 100,
@@ -213,7 +213,7 @@
    * Refuses queued requests that can't be served in time any more, and decays the load statistics. Called by a timer.
    */
   tick(): void {
-    const nowMs = steadyMs();
+    const nowMs = monotonicMs();
     this.apply(this.queue.advance(nowMs));
     this.meter.decay(nowMs);
     this.profile.decay(nowMs);
@@ -263,7 +263,7 @@
   }
 
   private estimateServiceMs(request: RoutedRequest): number {
-    const nowMs = steadyMs();
+    const nowMs = monotonicMs();
     return this.times.estimate(request.route, {
       objectiveMs: request.objectiveAtMs - nowMs,
       deadlineMs: request.deadlineAtMs - nowMs,
@@ -321,7 +321,7 @@
    * While it drains, only requests for keys are forwarded for a while longer: no other backend server can serve them.
    */
   private acceptsRequests({ phase, isKeyed, forwardUntilMs }: BackendIdentity) {
-    return phase === "ready" || isKeyed && steadyMs() <= forwardUntilMs;
+    return phase === "ready" || isKeyed && monotonicMs() <= forwardUntilMs;
   }
 
   /** Waits for the grant of a request's key if this backend server is the key's assigned owner. */
@@ -340,7 +340,7 @@
     if (grants.holds(key, bootMs())) {
       return undefined;
     }
-    const remainingMs = request.deadlineAtMs - steadyMs();
+    const remainingMs = request.deadlineAtMs - monotonicMs();
     await this.awaitGrant(key, {
       waitMs: Math.min(MAX_GRANT_WAIT_MS, remainingMs / 2),
       cancellation,
@@ -382,7 +382,7 @@
     const { rank, objectiveAtMs, deadlineAtMs, mayEndLate } = request;
     const decision = this.queue.offer(
       { id, rank, objectiveAtMs, deadlineAtMs, estimateMs, mayEndLate },
-      steadyMs(),
+      monotonicMs(),
     );
     if (decision.kind === "run") {
       return Promise.resolve("run");
@@ -413,7 +413,7 @@
     request: RoutedRequest,
     slot: { id: number; cancellation: Cancellation; isOnProbation: boolean },
   ): Promise<Outcome> {
-    const startedAtMs = steadyMs();
+    const startedAtMs = monotonicMs();
     const refused = this.recheck(request);
     if (refused !== undefined) {
       this.releaseSlot(slot.id);
@@ -427,7 +427,7 @@
     });
     const result = await connection.exchange(
       this.describe(request, startedAtMs),
-      { cancellation: slot.cancellation, nowMs: steadyMs },
+      { cancellation: slot.cancellation, nowMs: monotonicMs },
     );
     this.releaseSlot(slot.id);
     const outcome = this.toOutcome(request, { result, connection });
@@ -437,7 +437,7 @@
     });
     this.recordStatistics(request, {
       outcome,
-      durationMs: steadyMs() - startedAtMs,
+      durationMs: monotonicMs() - startedAtMs,
     });
     return outcome;
   }
@@ -455,14 +455,14 @@
         return notRun("not_owner");
       }
     }
-    if (request.deadlineAtMs - steadyMs() < 1) {
+    if (request.deadlineAtMs - monotonicMs() < 1) {
       return notRun("too_late");
     }
     const { identity } = this;
     if (identity === undefined || identity.service !== request.service) {
       return notRun("no_backend");
     }
-    return steadyMs() > identity.forwardUntilMs
+    return monotonicMs() > identity.forwardUntilMs
       ? notRun(closedReason(identity))
       : undefined;
   }
@@ -492,7 +492,7 @@
       }
       return notRun("backend_unreachable");
     }
-    const isLate = request.deadlineAtMs - steadyMs() < 1;
+    const isLate = request.deadlineAtMs - monotonicMs() < 1;
     return unknown(isLate ? "deadline" : "backend_lost");
   }
 
@@ -558,7 +558,7 @@
 
   private releaseSlot(id: number): void {
     this.totals.finished += 1;
-    this.apply(this.queue.finish(id, steadyMs()));
+    this.apply(this.queue.finish(id, monotonicMs()));
   }
 
   private apply(changes: QueueChanges): void {
--- a/packages/router/src/local_backend_test.ts
+++ b/packages/router/src/local_backend_test.ts
@@ -15,7 +15,7 @@
 import { fingerprintRequest } from "@bamboolink/quarantine";
 import { expect } from "chai";
 import { Cancellation } from "./cancellation.ts";
-import { bootMs, steadyMs } from "./clock.ts";
+import { bootMs, monotonicMs } from "./clock.ts";
 import { LocalBackend } from "./local_backend.ts";
 import type { BackendProtocol } from "./ports/backend_protocol.ts";
 import { RequestQuarantine } from "./request_quarantine.ts";
@@ -27,8 +27,8 @@
 const createRequest = (target: string): RoutedRequest => ({
   ...SAMPLE_REQUEST,
   target,
-  objectiveAtMs: steadyMs() + 1_000,
-  deadlineAtMs: steadyMs() + 2_000,
+  objectiveAtMs: monotonicMs() + 1_000,
+  deadlineAtMs: monotonicMs() + 2_000,
 });
 
 /** Time between the breaks of a crashing server's connections, in milliseconds. */
@@ -64,7 +64,7 @@
     address: "own",
     logger,
     random: () => 0,
-    nowMs: steadyMs,
+    nowMs: monotonicMs,
     broadcast: () => undefined,
     sendToSome: () => undefined,
   });
--- a/packages/router/src/ownership_lease_manager.ts
+++ b/packages/router/src/ownership_lease_manager.ts
@@ -78,7 +78,7 @@
     request: SharedReadRequest,
   ) => void;
   /** Whether keys are to be released to others. */
-  readonly isReleasingKeys: () => boolean;
+  readonly mustReleaseKeys: () => boolean;
   /** Called after each successful read of the own service's record. */
   readonly onRecordRead: (service: string) => void;
   /** Called when the record shows that this daemon is sealed. */
@@ -157,7 +157,7 @@
    * Checks by a read that the store is reachable, just before keys are released. Without it, keys that were released in
    * the seconds before an outage was detected had no owner until the outage ended.
    */
-  async checkStoreReachable(service: string): Promise<boolean> {
+  async confirmKeysMovable(service: string): Promise<boolean> {
     const sentAtMs = bootMs();
     if (this.context.findReader() === undefined) {
       // This read also confirms the lease, so the interval to the next one starts now.
@@ -177,7 +177,7 @@
    */
   private confirm(service: string): void {
     const nowMs = bootMs();
-    const mustRelease = this.context.isReleasingKeys() && !this.canMoveKeys();
+    const mustRelease = this.context.mustReleaseKeys() && !this.canMoveKeys();
     const intervalMs = mustRelease ? RELEASE_CONFIRM_INTERVAL_MS : undefined;
     if (
       !this.confirmationSchedule.isDue(nowMs, intervalMs) ||
--- a/packages/router/src/ownership_lease_manager_test.ts
+++ b/packages/router/src/ownership_lease_manager_test.ts
@@ -44,7 +44,7 @@
     ownService: () => SERVICE,
     findReader: () => undefined,
     onSharedReadNeeded: () => undefined,
-    isReleasingKeys: () => false,
+    mustReleaseKeys: () => false,
     onRecordRead: () => undefined,
     onSealed: () => undefined,
     onPromiseNeeded: () => undefined,
--- a/packages/router/src/ownership_manager.ts
+++ b/packages/router/src/ownership_manager.ts
@@ -20,12 +20,12 @@
 import type { MemberView } from "@bamboolink/membership";
 import type { Store } from "@bamboolink/store";
 import type { BackendManager } from "./backend_manager.ts";
-import { bootMs, steadyMs } from "./clock.ts";
+import { bootMs, monotonicMs } from "./clock.ts";
 import type { HandoverCoordinator } from "./handover_coordinator.ts";
 import { KeyRebalancer } from "./key_rebalancer.ts";
 import type { LocalBackend } from "./local_backend.ts";
 import type { OwnershipDirectory } from "./ownership_directory.ts";
-import { findCandidates, OwnershipLeader } from "./ownership_leader.ts";
+import { AssignmentManager, findCandidates } from "./assignment_manager.ts";
 import type { RecordInspector } from "./record_inspector.ts";
 import { RecordWriter } from "./record_writer.ts";
 import type { SharedReadRequest, SharedReadResponse } from "./shared_reader.ts";
@@ -74,7 +74,7 @@
   private readonly writer: RecordWriter;
   private readonly leaseManager: OwnershipLeaseManager;
   private readonly rebalancer: KeyRebalancer;
-  private readonly leader: OwnershipLeader;
+  private readonly assignmentManager: AssignmentManager;
   private readonly freedRanges: FreedRange[] = [];
   private registrationRevision = 0;
 
@@ -85,8 +85,8 @@
       ...context,
       ownService,
       ownAddress: () => this.ownAddress,
-      findReader: () => this.leader.findReader(),
-      isReleasingKeys: () => this.isReleasingKeys,
+      findReader: () => this.assignmentManager.findReader(),
+      mustReleaseKeys: () => this.mustReleaseKeys,
       onRecordRead: (service) => this.reapplyRecord(service),
       onSealed: (service) => this.handleSeal(service),
     });
@@ -95,7 +95,10 @@
       leaseManager: this.leaseManager,
       ownService,
     });
-    this.leader = OwnershipLeader.create({ ...context, writer: this.writer });
+    this.assignmentManager = AssignmentManager.create({
+      ...context,
+      writer: this.writer,
+    });
   }
 
   static create(context: OwnershipManagerContext): OwnershipManager {
@@ -112,7 +115,7 @@
    */
   onRegistered(revision: number): void {
     this.registrationRevision = revision;
-    this.leader.onRegistered(revision);
+    this.assignmentManager.onRegistered(revision);
     this.context.directory.keyedServices.forEach((service) => {
       const record = this.context.directory.record(service);
       if (record !== undefined) {
@@ -138,7 +141,7 @@
     if (service === undefined || this.candidatesFor(service).length === 0) {
       return true;
     }
-    if (!await this.leaseManager.checkStoreReachable(service)) {
+    if (!await this.leaseManager.confirmKeysMovable(service)) {
       return false;
     }
     const { grants } = this.context;
@@ -147,7 +150,7 @@
   }
 
   /** Whether the record still names this daemon as the owner of keys that others should own. */
-  get isReleasingKeys(): boolean {
+  get mustReleaseKeys(): boolean {
     const { grants, backendManager } = this.context;
     const service = this.ownService;
     const isUnreadyOwner = backendManager().phase !== "ready" &&
@@ -169,7 +172,7 @@
     this.writeReleases();
     this.releaseForeign();
     this.rebalancer.tick();
-    this.leader.tick();
+    this.assignmentManager.tick();
   }
 
   /** Handles a response of the shared reader. */
@@ -179,12 +182,12 @@
 
   /** Whether this daemon may promise an owner not to take over its keys for a while. */
   mayPromise(service: string, request: PromiseRequest): boolean {
-    return this.leader.mayPromise(service, request);
+    return this.assignmentManager.mayPromise(service, request);
   }
 
   /** Whether this daemon reads the store for all owners. */
   get isSharedReader(): boolean {
-    return this.leader.findReader() === this.ownAddress;
+    return this.assignmentManager.findReader() === this.ownAddress;
   }
 
   /** Load of the own keys per slot. */
@@ -214,7 +217,7 @@
   }
 
   private applyRecord(service: string, record: OwnershipRecord): void {
-    this.leader.observeRecord(service, record);
+    this.assignmentManager.observeRecord(service, record);
     if (service === this.ownService && this.registrationRevision > 0) {
       const { grants, handoverCoordinator, backend } = this.context;
       const previousKeyCount = grants.ownKeyCount;
@@ -245,7 +248,7 @@
   private handleSeal(service: string): void {
     const { view, grants } = this.context;
     const known = view.knownAddresses.length;
-    const alive = view.alive(steadyMs()).length;
+    const alive = view.alive(monotonicMs()).length;
     if (known > 0 && alive * 2 < known) {
       grants.beginRelease(grants.ownRanges);
       return;
@@ -277,7 +280,7 @@
     // A backend server that announced its departure without a heartbeat holds its keys until its grant expires, and
     // serves them while requests may still be forwarded to it.
     const hasDrained = (phase === "draining" || phase === "evacuated") &&
-      (steadyMs() > forwardUntilMs || grants.remainingHoldMs(bootMs()) === 0);
+      (monotonicMs() > forwardUntilMs || grants.certainHoldMs(bootMs()) === 0);
     if (hasDrained || phase === "absent") {
       grants.beginRelease(grants.ownRanges);
       return;
@@ -350,7 +353,7 @@
   ): OwnershipRecord {
     const candidates = this.candidatesFor(service);
     const planned = released.flatMap((range) =>
-      this.rebalancer.destinations.flatMap((destination) => {
+      this.rebalancer.begunMoves.flatMap((destination) => {
         const shared = intersect(destination, range);
         const isAvailable = candidates.some(({ daemon }) =>
           daemon === destination.daemon
--- a/packages/router/src/peer_client.ts
+++ b/packages/router/src/peer_client.ts
@@ -9,7 +9,7 @@
 import { errAsync, okAsync, ResultAsync } from "neverthrow";
 import { z } from "zod";
 import { Cancellation } from "./cancellation.ts";
-import { steadyMs } from "./clock.ts";
+import { monotonicMs } from "./clock.ts";
 import { Connection } from "./exchange.ts";
 
 /** Path that returns the configuration document. */
@@ -136,7 +136,7 @@
     body: request.body === undefined ? undefined : Buffer.from(request.body),
   }, {
     cancellation: Cancellation.createWithTimeout(REQUEST_TIMEOUT_MS),
-    nowMs: steadyMs,
+    nowMs: monotonicMs,
   })
     .finally(() => void connection.destroy());
   return ResultAsync.fromSafePromise(exchange).andThen((result) => {
--- a/packages/router/src/probation.ts
+++ b/packages/router/src/probation.ts
@@ -5,7 +5,7 @@
  */
 import { ProbationQueue } from "@bamboolink/quarantine";
 import type { Cancellation } from "./cancellation.ts";
-import { steadyMs } from "./clock.ts";
+import { monotonicMs } from "./clock.ts";
 import { notRun, type Outcome, type RoutedRequest } from "./routed_request.ts";
 
 /** A suspect request in the queue of suspects. */
@@ -39,7 +39,7 @@
   ): Promise<Outcome> {
     const { cancellation, estimateMs } = entry;
     const waitMs = this.queue.length * estimateMs;
-    if (steadyMs() + waitMs + estimateMs > request.deadlineAtMs) {
+    if (monotonicMs() + waitMs + estimateMs > request.deadlineAtMs) {
       return notRun("too_late", { waitMs });
     }
     this.lastId += 1;
--- a/packages/router/src/probe_backend.ts
+++ b/packages/router/src/probe_backend.ts
@@ -5,7 +5,7 @@
  */
 import type { ProbeResult } from "@bamboolink/keyspace";
 import { Cancellation } from "./cancellation.ts";
-import { steadyMs } from "./clock.ts";
+import { monotonicMs } from "./clock.ts";
 import { Connection } from "./exchange.ts";
 import type { BackendProtocol } from "./ports/backend_protocol.ts";
 
@@ -31,7 +31,7 @@
     body: undefined,
   }, {
     cancellation: Cancellation.createWithTimeout(PROBE_TIMEOUT_MS),
-    nowMs: steadyMs,
+    nowMs: monotonicMs,
   });
   void connection.destroy();
   if (result.kind === "answer") {
--- a/packages/router/src/record_writer.ts
+++ b/packages/router/src/record_writer.ts
@@ -9,7 +9,7 @@
 import type { Logger } from "@bamboolink/logger";
 import { type Store, writeAndVerify } from "@bamboolink/store";
 import { err, ok } from "neverthrow";
-import { steadyMs } from "./clock.ts";
+import { monotonicMs } from "./clock.ts";
 import {
   OWNERSHIP_PREFIX,
   type OwnershipDirectory,
@@ -134,7 +134,7 @@
     service: string,
     operation: () => Promise<void>,
   ): Promise<void> {
-    const isPaused = steadyMs() < (this.pauseEndsAtMs.get(service) ?? 0);
+    const isPaused = monotonicMs() < (this.pauseEndsAtMs.get(service) ?? 0);
     if (this.servicesInFlight.has(service) || isPaused) {
       return;
     }
@@ -147,7 +147,7 @@
   }
 
   private pause(service: string): void {
-    this.pauseEndsAtMs.set(service, steadyMs() + WRITE_PAUSE_MS);
+    this.pauseEndsAtMs.set(service, monotonicMs() + WRITE_PAUSE_MS);
   }
 
   private async tryWrite(
--- a/packages/router/src/request_runner.ts
+++ b/packages/router/src/request_runner.ts
@@ -16,7 +16,7 @@
 import { AttemptHistory, type FinalOutcome } from "./attempt_history.ts";
 import type { BackendLoadTracker } from "./backend_load_tracker.ts";
 import type { Cancellation } from "./cancellation.ts";
-import { steadyMs } from "./clock.ts";
+import { monotonicMs } from "./clock.ts";
 import type { Forwarder } from "./forwarder.ts";
 import type { LocalBackend } from "./local_backend.ts";
 import type { OwnershipDirectory } from "./ownership_directory.ts";
@@ -99,7 +99,7 @@
       });
       return { outcome, peer: undefined, attempts: 0 };
     }
-    this.context.budget.recordRequest(request.service, steadyMs());
+    this.context.budget.recordRequest(request.service, monotonicMs());
     for (let round = 0; round < MAX_ROUNDS; round += 1) {
       const current = history.brokenConnections === 0
         ? request
@@ -149,7 +149,7 @@
     if (!this.hasRetryAllowance(request, arrivals, maximumAttempts)) {
       return false;
     }
-    this.context.budget.recordRetry(request.service, steadyMs());
+    this.context.budget.recordRetry(request.service, monotonicMs());
     return true;
   }
 
@@ -234,7 +234,7 @@
       address === view.ownReport.address
         ? backend.failureShare
         : loadTracker.failureShareOf(address);
-    const others = view.readyReports(request.service, steadyMs())
+    const others = view.readyReports(request.service, monotonicMs())
       .map(({ address }) => address)
       .filter((address) => address !== target.address);
     return isServerFault(
@@ -249,7 +249,7 @@
     maximumAttempts: number,
   ): boolean {
     const { budget, view, loadTracker } = this.context;
-    const nowMs = steadyMs();
+    const nowMs = monotonicMs();
     const typicalMs = loadTracker.typicalMs(request.route);
     return arrivals < maximumAttempts &&
       request.deadlineAtMs - nowMs > typicalMs * MIN_RETRY_TIME_SHARE &&
@@ -275,7 +275,7 @@
     tried: ReadonlySet<string>,
   ): MemberReport | undefined {
     const { view, loadTracker, random } = this.context;
-    const nowMs = steadyMs();
+    const nowMs = monotonicMs();
     const own = view.ownReport;
     const untried = view.readyReports(request.service, nowMs)
       .filter(({ address }) => !tried.has(address));
@@ -333,7 +333,7 @@
     candidate: PlacementCandidate,
     request: RoutedRequest,
   ): boolean {
-    return steadyMs() + expectedLatencyMs(candidate) < request.objectiveAtMs;
+    return monotonicMs() + expectedLatencyMs(candidate) < request.objectiveAtMs;
   }
 
   /** Finds a key's owner. A key that has just lost its owner is waited for: most get another within milliseconds. */
@@ -346,8 +346,8 @@
     if (request.key === undefined) {
       return undefined;
     }
-    const remainingMs = request.deadlineAtMs - steadyMs();
-    const waitUntilMs = steadyMs() +
+    const remainingMs = request.deadlineAtMs - monotonicMs();
+    const waitUntilMs = monotonicMs() +
       Math.min(MAX_OWNER_WAIT_MS, remainingMs / 3);
     while (!cancellation.isCancelled) {
       const daemon = directory.ownerOf(request.service, request.key);
@@ -359,7 +359,7 @@
       if (owner !== undefined && !tried.has(owner.address)) {
         return owner;
       }
-      if (steadyMs() >= waitUntilMs) {
+      if (monotonicMs() >= waitUntilMs) {
         return undefined;
       }
       await new Promise((resolve) =>
@@ -372,7 +372,7 @@
   private isUnavailable(owner: MemberReport): boolean {
     const { view } = this.context;
     return owner.phase === "stopping" ||
-      view.heartbeatAgeMs(owner.address, steadyMs()) >
+      view.heartbeatAgeMs(owner.address, monotonicMs()) >
         view.unresponsiveTimeoutMs;
   }
 
@@ -393,7 +393,7 @@
       outcome: outcome.kind,
       reason: outcome.reason,
       wait_ms: outcome.kind === "not_run" ? outcome.waitMs : undefined,
-      left_ms: Math.round(request.deadlineAtMs - steadyMs()),
+      left_ms: Math.round(request.deadlineAtMs - monotonicMs()),
     });
   }
 }
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -26,7 +26,7 @@
 import { ResponseSender } from "./response_sender.ts";
 import { BackendLoadTracker } from "./backend_load_tracker.ts";
 import { BackendManager } from "./backend_manager.ts";
-import { bootMs, steadyMs } from "./clock.ts";
+import { bootMs, monotonicMs } from "./clock.ts";
 import { ConfigurationManager } from "./configuration_manager.ts";
 import type { Datagram } from "./datagram_codec.ts";
 import { EvacuationManager } from "./evacuation_manager.ts";
@@ -104,7 +104,7 @@
   private readonly loadTracker = BackendLoadTracker.create();
   private readonly peerClient = PeerClient.create();
   private readonly handoverCoordinator = HandoverCoordinator.create();
-  private readonly lag = LoopLag.create(TICK_INTERVAL_MS, steadyMs);
+  private readonly lag = LoopLag.create(TICK_INTERVAL_MS, monotonicMs);
   private readonly logger: Logger;
   private readonly directStore: Store;
   private readonly store: RelayedStore;
@@ -167,7 +167,7 @@
       address: settings.gossipAddress,
       logger,
       random,
-      nowMs: steadyMs,
+      nowMs: monotonicMs,
       broadcast: (update) => this.gossip.broadcast(update),
       sendToSome: (update) => this.gossip.sendToSome(update),
     });
@@ -175,7 +175,7 @@
       address: settings.gossipAddress,
       zone: settings.availabilityZone,
       logger,
-      nowMs: steadyMs,
+      nowMs: monotonicMs,
       evacuateMs: () => this.settings.bounds.evacuateMs,
       isKnownZone: (zone) => this.hasMemberIn(zone),
       broadcast: (update) => this.gossip.broadcast(update),
@@ -273,10 +273,10 @@
         this.loadTracker.recordRouteLoad(daemon, {
           route,
           load,
-          nowMs: steadyMs(),
+          nowMs: monotonicMs(),
         }),
       onUnreachable: (daemon) =>
-        this.loadTracker.markUnreachable(daemon, steadyMs()),
+        this.loadTracker.markUnreachable(daemon, monotonicMs()),
     });
     const { resendRatio, resendExtra, resendWindowMs } = settings.bounds;
     this.retryBudget = FleetRetryBudget.create({
@@ -309,11 +309,11 @@
       logger,
       responses: ResponseSender.create(
         settings.linkBytesPerSecond ?? Infinity,
-        steadyMs,
+        monotonicMs,
       ),
       backend: this.backend,
       lag: this.lag,
-      nowMs: steadyMs,
+      nowMs: monotonicMs,
     });
     this.peerServer = PeerServer.create({
       logger,
@@ -398,7 +398,7 @@
     if (this.isStopRequested) {
       return;
     }
-    const deadlineMs = steadyMs() + this.settings.bounds.graceMs -
+    const deadlineMs = monotonicMs() + this.settings.bounds.graceMs -
       CLOSE_RESERVE_MS;
     this.isStopRequested = true;
     this.logger.log("process_stopping");
@@ -410,7 +410,7 @@
     this.ingress.closeIdle();
     await sleep(TICK_INTERVAL_MS);
     this.linkServer.beginStop();
-    while (steadyMs() < deadlineMs && this.hasPendingWork()) {
+    while (monotonicMs() < deadlineMs && this.hasPendingWork()) {
       await sleep(TICK_INTERVAL_MS / 2);
       this.ingress.closeIdle();
     }
@@ -430,7 +430,7 @@
   private hasPendingWork(): boolean {
     const requests = this.ingress.busyCount + this.linkServer.activeCount +
       this.peerConnections.busyCount;
-    return requests > 0 || this.ownership.isReleasingKeys;
+    return requests > 0 || this.ownership.mustReleaseKeys;
   }
 
   private async close(): Promise<void> {
@@ -481,7 +481,7 @@
   }
 
   private handleReports(reports: readonly MemberReport[]): void {
-    const nowMs = steadyMs();
+    const nowMs = monotonicMs();
     reports.forEach((report) => {
       this.loadTracker.recordLoad(report.address, report, nowMs);
       this.configuration.handlePeerReport(report);
@@ -509,7 +509,7 @@
         this.handoverCoordinator.expectRanges(
           datagram.sender,
           datagram.ranges.map(([from, to, load]) => ({ from, to, load })),
-          steadyMs(),
+          monotonicMs(),
         );
         return;
       case "awaiting":
@@ -629,7 +629,7 @@
       await this.ownership.beginMoves();
       return;
     }
-    const sources = this.handoverCoordinator.expectedSenders(steadyMs());
+    const sources = this.handoverCoordinator.expectedSources(monotonicMs());
     if (sources.length === 0) {
       return;
     }
@@ -637,7 +637,7 @@
     sources.forEach((source) =>
       this.gossip.sendDatagram({ kind: "awaiting", sender }, source)
     );
-    await this.handoverCoordinator.awaitKeys(steadyMs);
+    await this.handoverCoordinator.awaitKeys(monotonicMs);
   }
 
   /** Maximum rate for a cold backend server of a service, in requests per second; 0 if it is not known. */
@@ -653,13 +653,13 @@
   /** Only the shared reader restores them, as it is the first to see that the store was rolled back. */
   private restoreMembers(): void {
     if (this.ownership.isSharedReader) {
-      void this.members.restoreMissing(steadyMs());
+      void this.members.restoreMissing(monotonicMs());
     }
   }
 
   /** Picks a random alive daemon that reaches the store. */
   private findRelay(): string | undefined {
-    const relays = this.view.alive(steadyMs())
+    const relays = this.view.alive(monotonicMs())
       .filter(({ reachesStore }) => reachesStore);
     const index = Math.floor(this.ports.random() * relays.length);
     return relays[index]?.forwardAddress;
@@ -674,7 +674,7 @@
       random,
       prefix: document.prefix,
       choosePollTimeoutMs: (hasTimedOut) => {
-        const daemons = this.view.alive(steadyMs()).length + 1;
+        const daemons = this.view.alive(monotonicMs()).length + 1;
         return waits.nextTimeoutMs({ daemons, hasTimedOut });
       },
       onListing: ({ records, revision }) => {
@@ -706,14 +706,14 @@
 
   private hasMemberIn(zone: string): boolean {
     const { view } = this;
-    return [view.ownReport, ...view.alive(steadyMs())]
+    return [view.ownReport, ...view.alive(monotonicMs())]
       .some(({ availabilityZone }) => availabilityZone === zone);
   }
 
   /** Asks a random alive daemon which availability zones are evacuated. */
   private requestEvacuationState(): void {
     const sender = this.view.ownReport.address;
-    const alive = this.view.alive(steadyMs());
+    const alive = this.view.alive(monotonicMs());
     const peer = alive[Math.floor(this.ports.random() * alive.length)];
     if (peer !== undefined) {
       this.gossip.sendDatagram(
@@ -735,7 +735,7 @@
       bamboolink_requests_running: () => this.backend.counts.running,
       bamboolink_requests_queued: () => this.backend.counts.waiting,
       bamboolink_configuration_version: () => this.configuration.version,
-      bamboolink_members_alive: () => this.view.alive(steadyMs()).length,
+      bamboolink_members_alive: () => this.view.alive(monotonicMs()).length,
       bamboolink_requests_quarantined: () => this.quarantine.count,
       bamboolink_owned_keys: () => this.grants.ownKeyCount,
       bamboolink_tenure_left_ms: () =>
