--- a/packages/keyspace/src/grant_tracker.ts
+++ b/packages/keyspace/src/grant_tracker.ts
@@ -32,7 +32,7 @@
 }
 
 /** A range that the backend server has given back, with its proof of the handover. */
-export interface FreedRange extends KeyRange {
+export interface ReleasedRange extends KeyRange {
   readonly handover: string;
 }
 
@@ -228,7 +228,7 @@
    *
    * @returns the parts that are being released and may be assigned to another owner now.
    */
-  recordFreed(freed: readonly FreedRange[]): FreedRange[] {
+  recordReleased(freed: readonly ReleasedRange[]): ReleasedRange[] {
     return freed.flatMap((range) => {
       this.mayHoldUntil.delete(range);
       this.holdsUntil.delete(range);
--- a/packages/keyspace/src/mod.ts
+++ b/packages/keyspace/src/mod.ts
@@ -31,11 +31,11 @@
 } from "./ownership_lease.ts";
 export {
   DEFAULT_HOLD_MS,
-  type FreedRange,
   type Grant,
   type GrantedRange,
   GrantTracker,
   type HeldRange,
+  type ReleasedRange,
 } from "./grant_tracker.ts";
 export {
   assignUnowned,
--- a/packages/keyspace/src/testing/ownership_simulation.ts
+++ b/packages/keyspace/src/testing/ownership_simulation.ts
@@ -10,7 +10,6 @@
 import {
   ARBITER_WAIT_MS,
   ArbiterState,
-  type FreedRange,
   type Grant,
   GrantTracker,
   type Heartbeat,
@@ -22,6 +21,7 @@
   OwnershipRecord,
   type PromiseRequest,
   RangeMap,
+  type ReleasedRange,
   RepairTimer,
   RestoreTimer,
   TAKEOVER_WAIT_MS,
@@ -141,7 +141,7 @@
   born: number;
   sequence: number;
   readonly holds: RangeMap<{ token: number; expiresAtMs: number }>;
-  freed: FreedRange[];
+  freed: ReleasedRange[];
   /** Highest token that this incarnation has received. */
   maxToken: number;
 }
@@ -165,7 +165,7 @@
   registrationRevision: number;
   suspendedUntilMs: number;
   suspendedForMs: number;
-  handovers: FreedRange[];
+  handovers: ReleasedRange[];
   restarts: number;
 }
 
@@ -502,7 +502,7 @@
     host: Host,
     sent: Heartbeat & {
       holds: readonly HeldRange[];
-      freed: readonly FreedRange[];
+      freed: readonly ReleasedRange[];
     },
   ): Grant | undefined {
     const nowMs = this.clockOf(host);
@@ -535,7 +535,7 @@
       host.grants.recordNewIncarnation(succession === "proved");
     }
     host.grants.raiseTokens(heartbeat.holds);
-    host.handovers.push(...host.grants.recordFreed(heartbeat.freed));
+    host.handovers.push(...host.grants.recordReleased(heartbeat.freed));
     return host.grants.createGrant({
       maxHoldMs: host.lease.maxHoldMs(nowMs),
       nowMs,
--- a/packages/router/src/backend_manager.ts
+++ b/packages/router/src/backend_manager.ts
@@ -72,7 +72,7 @@
   /** Called when the phase or the incarnation has changed. */
   readonly onChange: () => void;
   /** Called when the backend server has released ranges that were requested from it. */
-  readonly onFreed: (
+  readonly onReleased: (
     freed: readonly { from: number; to: number; handover: string }[],
   ) => void;
   /**
@@ -325,9 +325,9 @@
       });
     }
     grants.raiseTokens(heartbeat.holds);
-    const freed = grants.recordFreed(heartbeat.freed);
+    const freed = grants.recordReleased(heartbeat.freed);
     if (freed.length > 0) {
-      this.context.onFreed(freed);
+      this.context.onReleased(freed);
     }
     const phase = heartbeat.isDraining ? "draining" : this.undrainedPhase;
     this.setPhase(phase, "heartbeat");
--- a/packages/router/src/backend_manager_test.ts
+++ b/packages/router/src/backend_manager_test.ts
@@ -81,7 +81,7 @@
     probe: options.probe ?? (() => Promise.resolve({ kind: "silent" })),
     mayGrant: () => true,
     onChange: () => undefined,
-    onFreed: () => undefined,
+    onReleased: () => undefined,
     beforeDrain: () => Promise.resolve((options.beforeDrain ?? releaseAll)()),
     onProcessEnded: () => undefined,
     beforeGrant: () => Promise.resolve(),
--- a/packages/router/src/ownership_manager.ts
+++ b/packages/router/src/ownership_manager.ts
@@ -7,7 +7,6 @@
 import {
   assignUnowned,
   type Candidate,
-  type FreedRange,
   type GrantTracker,
   intersect,
   type KeyRange,
@@ -15,6 +14,7 @@
   type OwnershipRecord,
   type PlannedMove,
   type PromiseRequest,
+  type ReleasedRange,
 } from "@bamboolink/keyspace";
 import type { Logger } from "@bamboolink/logger";
 import type { MemberView } from "@bamboolink/membership";
@@ -75,7 +75,7 @@
   private readonly leaseManager: OwnershipLeaseManager;
   private readonly rebalancer: KeyRebalancer;
   private readonly assignmentManager: AssignmentManager;
-  private readonly freedRanges: FreedRange[] = [];
+  private readonly releasedRanges: ReleasedRange[] = [];
   private registrationRevision = 0;
 
   private constructor(private readonly context: OwnershipManagerContext) {
@@ -160,8 +160,8 @@
   }
 
   /** Handles ranges that the backend server has released, with the proofs of their handover. */
-  handleFreed(freed: readonly FreedRange[]): void {
-    this.freedRanges.push(...freed);
+  handleReleased(freed: readonly ReleasedRange[]): void {
+    this.releasedRanges.push(...freed);
     this.writeReleases();
   }
 
@@ -379,7 +379,7 @@
   private withHandoverProofs<A extends KeyRange & { handover: string }>(
     assignment: A,
   ): A[] {
-    const proofs = this.freedRanges.flatMap((freed) => {
+    const proofs = this.releasedRanges.flatMap((freed) => {
       const shared = intersect(freed, assignment);
       return shared === undefined
         ? []
--- a/packages/router/src/ports/backend_protocol.ts
+++ b/packages/router/src/ports/backend_protocol.ts
@@ -5,10 +5,10 @@
  */
 import type { BamboolinkError } from "@bamboolink/errors";
 import type {
-  FreedRange,
   Grant,
   HeldRange,
   Incarnation,
+  ReleasedRange,
 } from "@bamboolink/keyspace";
 import type { Result } from "neverthrow";
 
@@ -42,7 +42,7 @@
   /** Remaining time for which the server is slow after its start, in milliseconds. */
   readonly coldMs: number;
   readonly holds: readonly HeldRange[];
-  readonly freed: readonly FreedRange[];
+  readonly freed: readonly ReleasedRange[];
 }
 
 /** Notification that the backend server drains. */
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -213,7 +213,7 @@
       heartbeatIntervalMs: () => this.settings.heartbeatMs,
       mayGrant: (service) => this.ownership.mayGrant(service),
       onChange: () => this.gossip.announce(),
-      onFreed: (freed) => this.ownership.handleFreed(freed),
+      onReleased: (freed) => this.ownership.handleReleased(freed),
       beforeDrain: () => this.ownership.releaseAll(),
       onProcessEnded: (end) => this.quarantine.recordBackendEnd(end),
       beforeGrant: () => this.awaitHandovers(),
