--- a/packages/keyspace/src/balance_loads.ts
+++ b/packages/keyspace/src/balance_loads.ts
@@ -1,6 +1,6 @@
 /**
  * Compares owners by utilization relative to their speed, and allocates the headroom of the least utilized ones to the
- * hot ones.
+ * sources, the owners that move keys away.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 /** The load of one owner of keys. */
 export interface OwnerLoad {
   readonly daemon: string;
-  /** Offered work per slot: 1 keeps all slots busy, more can't be served. */
+  /** Offered work per slot: 1 keeps all slots busy; more than that can't be served. */
   readonly utilization: number;
   readonly slots: number;
   /** Typical service time of a request, in milliseconds; 0 where too few were served yet. */
@@ -39,20 +39,22 @@
 }
 
 /**
- * An owner moves keys away only while its utilization is above this: below it no request waits long, and a move would
- * cost more than it gains.
+ * Unless there is an owner without keys (`KEYLESS_SHARING_UTILIZATION`), an owner moves keys away only while its
+ * utilization is above this: below it no request waits long, and a move would cost more than it gains.
  */
 const HOT_UTILIZATION = 0.6;
-/** Minimum excess over the target utilization that justifies a move. */
+/** Minimum excess over the target utilization that justifies a move, unless there is an owner without keys. */
 const MIN_EXCESS = 0.25;
 /**
- * Number of standard deviations above the target from which on an owner counts as hot. An owner in a large fleet
- * serves a few requests a second: without this bound, a third of 98 owners with equal work moved keys away within a
- * second, and a second later these keys brought no more work than others; that took 645 writes in 20 s rather than
- * 22.
+ * Minimum excess in standard deviations, under the same condition. An owner in a large fleet serves a few requests per
+ * second. Without this bound, a third of 98 owners with equal work would move keys away within a second, although a
+ * second later these keys cause no more work than others, and this would take 645 writes in 20 s rather than 22.
  */
 const MIN_EXCESS_DEVIATIONS = 2;
-/** An owner moves keys to one without any from this utilization on, so that the latter gets a share of the work. */
+/**
+ * While there is an owner without keys, one above this utilization and the target moves keys to it, so that it gets a
+ * share of the work.
+ */
 const KEYLESS_SHARING_UTILIZATION = 0.05;
 /**
  * An owner above this utilization refuses requests; to avoid that, other owners may be filled beyond the mean
@@ -115,7 +117,7 @@
 /**
  * Allocates headroom of recipients to one source.
  *
- * The excesses of all hot owners and the headrooms of all recipients are each laid out as consecutive intervals, in
+ * The excesses of all sources and the headrooms of all recipients are each laid out as consecutive intervals, in
  * the order of the owners' names; the source gets the parts of the headrooms that overlap its own excess. All daemons
  * compute nearly the same layout, so no headroom is allocated twice.
  *
@@ -132,7 +134,7 @@
   const { owners, target, keyless } = fleet;
   const hasKeylessOwner = owners.some(({ daemon }) => keyless.has(daemon));
   const excessOf = (owner: BalancedLoad) =>
-    isHot(owner, { target, hasKeylessOwner })
+    isSource(owner, { target, hasKeylessOwner })
       ? (owner.utilization - target) * owner.capacity
       : 0;
   const headroomOf = ({ daemon, utilization, capacity }: BalancedLoad) => {
@@ -143,19 +145,20 @@
   const excesses = layOut(owners, excessOf);
   const headrooms = layOut(owners, headroomOf);
   const own = excesses.intervals.find(({ owner }) => owner === source)!;
-  // Where the headroom does not suffice, each source gets the same fraction of its excess.
-  const allocatedFraction = Math.min(
+  // Where the headroom does not suffice, each source gets the same share of its excess.
+  const allocatedShare = Math.min(
     1,
     headrooms.total / (excesses.total || 1),
   );
   return headrooms.intervals.map(({ owner, from, to }) => {
-    const start = Math.max(own.from * allocatedFraction, from);
-    const end = Math.min(own.to * allocatedFraction, to);
+    const start = Math.max(own.from * allocatedShare, from);
+    const end = Math.min(own.to * allocatedShare, to);
     return { recipient: owner, amount: Math.max(0, end - start) };
   }).filter(({ amount }) => amount > 0);
 }
 
-function isHot(
+/** Whether an owner has so much work that it moves keys away. */
+function isSource(
   { utilization, deviation }: BalancedLoad,
   fleet: { target: number; hasKeylessOwner: boolean },
 ): boolean {
--- a/packages/keyspace/src/choose_arbiters.ts
+++ b/packages/keyspace/src/choose_arbiters.ts
@@ -14,20 +14,21 @@
 export interface ArbiterCandidate {
   readonly daemon: string;
   readonly availabilityZone: string;
-  /** Whether its backend server owns keys, in which case it may be the owner that has to be taken over. */
+  /** Whether its backend server belongs to the service, so that it may own keys and have to be taken over itself. */
   readonly isOfService: boolean;
-  /** Whether it reaches the store; one that does not can make promises, but can't take an owner over. */
+  /** Whether the store is reachable from it; otherwise it can make promises, but can't take an owner over. */
   readonly reachesStore: boolean;
 }
 
 /**
- * Chooses arbiters. Present arbiters that are still candidates stay, since a new one is of use only after the maximum
- * ownership lease. The others are daemons without keys, each in an availability zone of its own, as far as possible.
+ * Chooses arbiters. Current arbiters that are still candidates stay, since a new one is of use only after the maximum
+ * ownership lease. The others are daemons whose backend servers belong to other services, or that have none, each in an
+ * availability zone of its own, as far as possible.
  *
  * @returns the chosen daemons: fewer than `ARBITER_COUNT` where there are not enough candidates.
  */
 export function chooseArbiters(
-  present: readonly string[],
+  current: readonly string[],
   candidates: readonly ArbiterCandidate[],
 ): string[] {
   const ordered = candidates.toSorted((left, right) =>
@@ -35,7 +36,7 @@
     (left.daemon < right.daemon ? -1 : 1)
   );
   const staying = ordered
-    .filter(({ daemon }) => present.includes(daemon))
+    .filter(({ daemon }) => current.includes(daemon))
     .slice(0, ARBITER_COUNT);
   const missing = Array.from({ length: ARBITER_COUNT - staying.length });
   return missing
--- a/packages/keyspace/src/choose_arbiters_test.ts
+++ b/packages/keyspace/src/choose_arbiters_test.ts
@@ -23,11 +23,11 @@
 ];
 
 describe("choosing arbiters", () => {
-  it("prefers daemons without keys in different availability zones", () => {
+  it("prefers daemons outside the service in different availability zones", () => {
     expect(chooseArbiters([], FLEET)).to.deep.equal(["b", "d"]);
   });
 
-  it("keeps present arbiters that are candidates", () => {
+  it("keeps current arbiters that are candidates", () => {
     expect(chooseArbiters(["lost", "c"], FLEET)).to.deep.equal(["c", "d"]);
   });
 
@@ -39,9 +39,9 @@
     expect(chooseArbiters(["c"], partlyUnreachable)).to.deep.equal(["c", "d"]);
   });
 
-  it("chooses owners where there are no other daemons", () => {
-    const owners = FLEET.filter(({ isOfService }) => isOfService);
-    expect(chooseArbiters([], owners)).to.deep.equal(["a", "e"]);
+  it("chooses daemons of the service where there are no others", () => {
+    const ofService = FLEET.filter(({ isOfService }) => isOfService);
+    expect(chooseArbiters([], ofService)).to.deep.equal(["a", "e"]);
   });
 
   it("chooses none without candidates", () => {
--- a/packages/keyspace/src/confirmation_schedule.ts
+++ b/packages/keyspace/src/confirmation_schedule.ts
@@ -2,20 +2,22 @@
  * Decides when owners request the current state of the store, to extend their ownership leases, and when the daemon
  * that reads on behalf of all of them does so.
  *
- * It is sized for 98 owners that each need a confirmation every 1.5 s. With requests at arbitrary moments, a read
- * would be due every 0.4 s; with aligned requests, one read in 1.4 s is enough.
+ * It is sized for 98 owners that each need a confirmation every 1.5 s. With requests at arbitrary times, a read would
+ * be due every 0.4 s; with aligned requests, one read in 1.4 s is enough.
  *
  * @module
  */
 
-/** Interval at which an owner repeats its request while no shared read responds, in milliseconds. */
+/**
+ * Interval at which an owner repeats its request while it receives no response of the shared reader, in milliseconds.
+ */
 export const CONFIRM_INTERVAL_MS = 1_500;
 /**
  * Bounds of the delay from the response of a shared read to the owner's next request, in milliseconds. A shorter delay
  * causes more reads; a longer one lets confirmations get older.
  */
 const NEXT_REQUEST_DELAY_MS = { min: 900, max: 1_100 };
-/** The shared read happens at multiples of this time on the reading daemon's clock, in milliseconds. */
+/** Interval of the shared reads, in milliseconds: they take place at multiples of it on the reading daemon's clock. */
 const SHARED_READ_INTERVAL_MS = 1_400;
 /**
  * Maximum time for which a request waits for the next shared read, in milliseconds; an owner reads the store on its own
@@ -24,7 +26,8 @@
 const MAX_BATCH_DELAY_MS = 600;
 /**
  * Delay of requests that don't wait for the next shared read, in milliseconds. Their owners send the next request about
- * 1.2 s after this one, so each time earlier relative to the shared reads, until they wait for one of them.
+ * 1.2 s after this one. As that period is shorter than `SHARED_READ_INTERVAL_MS`, one of the next few requests falls
+ * within `MAX_BATCH_DELAY_MS` before a shared read and waits for it.
  */
 const UNALIGNED_BATCH_DELAY_MS = 200;
 
--- a/packages/keyspace/src/confirmation_schedule_test.ts
+++ b/packages/keyspace/src/confirmation_schedule_test.ts
@@ -65,7 +65,7 @@
 
 describe("confirmation schedule", () => {
   // Guards against a shared reader for 98 owners that reads every 0.4 s, although each owner needs a read in 1.5 s:
-  // owners sent each request 1.5 s after their previous one, so that their requests were never aligned.
+  // if owners send each request 1.5 s after their previous one, their requests are never aligned.
   [98, 6].forEach((owners) =>
     it(`aligns requests without increasing the age of confirmations, ${owners} owners`, () => {
       [1, 2, 3].forEach((seed) => {
--- a/packages/keyspace/src/grant_tracker.ts
+++ b/packages/keyspace/src/grant_tracker.ts
@@ -1,5 +1,5 @@
 /**
- * Tracks which keys the backend server beside a daemon holds, may hold and has given back.
+ * Tracks which keys the backend server on the daemon's host holds, may hold and has released.
  *
  * @module
  */
@@ -31,7 +31,7 @@
   readonly token: number;
 }
 
-/** A range that the backend server has given back, with its proof of the handover. */
+/** A range that the backend server has released, with its proof of the handover. */
 export interface ReleasedRange extends KeyRange {
   readonly handover: string;
 }
@@ -41,7 +41,7 @@
   readonly handover: string;
 }
 
-/** The response to a heartbeat. */
+/** The keys that the response to a heartbeat grants, and for how long. */
 export interface Grant {
   readonly ranges: readonly GrantedRange[];
   /** How long the grant is valid from when the heartbeat was sent, in milliseconds. */
@@ -53,7 +53,7 @@
   readonly handover: string;
 }
 
-/** The keys of one backend server, as tracked by the daemon beside it. */
+/** The keys of one backend server, as tracked by the daemon on its host. */
 export class GrantTracker {
   /** Ranges that the store assigns to the backend server, with the token of each. */
   private readonly tokens = RangeMap.create<Token>((left, right) =>
@@ -74,7 +74,7 @@
   private constructor() {}
 
   /**
-   * Creates a tracker without own keys.
+   * Creates a tracker of a backend server without keys.
    *
    * An earlier process of this daemon may have granted any keys until just before. Unless the backend server reports
    * otherwise, they count as held until such a grant has expired.
@@ -125,8 +125,8 @@
   /**
    * Handles a read of the record that has confirmed the daemon's lease. If the lease had expired before, or the
    * daemon was sealed, its keys may have belonged to another owner for a while, in records that it has not read. They
-   * get tokens above those of that owner: with the former tokens, the backend server would take keys with tokens
-   * below the other owner's.
+   * get tokens above those of that owner: otherwise a key would be granted with a lower token than it was held with
+   * before.
    *
    * @param read the revision that was read, and whether the lease had expired by then.
    */
@@ -189,9 +189,9 @@
   }
 
   /**
-   * Adopts tokens that the current incarnation reports and that are higher than the tracked ones. It was granted them
-   * by an earlier process of this daemon, while a delayed heartbeat reported an older state; it would permanently
-   * refuse grants with lower tokens.
+   * Adopts tokens that the current incarnation reports and that are higher than the tracked ones. An earlier process of
+   * this daemon granted them after the heartbeat by which this tracker was initialized had been sent. The backend
+   * server would permanently refuse grants with lower tokens.
    */
   raiseTokens(held: readonly HeldRange[]): void {
     held.forEach((range) =>
@@ -224,12 +224,12 @@
   }
 
   /**
-   * Records ranges that the backend server has reported as given back.
+   * Records ranges that the backend server has reported as released.
    *
    * @returns the parts that are being released and may be assigned to another owner now.
    */
-  recordReleased(freed: readonly ReleasedRange[]): ReleasedRange[] {
-    return freed.flatMap((range) => {
+  recordReleased(released: readonly ReleasedRange[]): ReleasedRange[] {
+    return released.flatMap((range) => {
       this.mayHoldUntil.delete(range);
       this.holdsUntil.delete(range);
       return this.releasing.within(range).map(({ from, to }) => ({
@@ -260,7 +260,7 @@
     );
   }
 
-  /** Own ranges that the backend server can no longer hold without a new grant. */
+  /** Ranges of the backend server that it can no longer hold without a new grant. */
   findExpired(nowMs: number): KeyRange[] {
     return this.tokens.segments.flatMap((segment) =>
       this.unheldParts(segment, nowMs)
@@ -278,7 +278,10 @@
     return (this.holdsUntil.get(key) ?? -Infinity) > nowMs;
   }
 
-  /** For how long the backend server certainly holds any key, in milliseconds; 0 where it may hold none. */
+  /**
+   * For how long the backend server certainly holds any key, in milliseconds; 0 where it does not certainly hold any.
+   * It may still hold some then: see `findExpired`.
+   */
   certainHoldMs(nowMs: number): number {
     const remainingMs = this.holdsUntil.segments.map(({ value }) =>
       value - nowMs
--- a/packages/keyspace/src/incarnation_tracker.ts
+++ b/packages/keyspace/src/incarnation_tracker.ts
@@ -1,5 +1,5 @@
 /**
- * Distinguishes the incarnations of the backend server beside a daemon.
+ * Distinguishes the incarnations of the backend server on the daemon's host.
  *
  * @module
  */
--- a/packages/keyspace/src/incarnation_tracker_test.ts
+++ b/packages/keyspace/src/incarnation_tracker_test.ts
@@ -10,7 +10,7 @@
   describe("when a heartbeat of an earlier incarnation was delayed", () => {
     // Guards against a healthy backend server that refuses requests for keys for a second: a backend server crashes,
     // its successor registers at the same address, and a heartbeat of the first, delayed by a network partition,
-    // arrives last and was taken for that of the current incarnation.
+    // arrives last and is attributed to the current incarnation.
     it("requires verification before it accepts another incarnation", () => {
       const tracker = IncarnationTracker.create();
       tracker.accept({ instance: "second", born: 1, sequence: 1 }, 0);
@@ -58,15 +58,15 @@
     }
 
     // Guards against keys of a restarted backend server that are not served for as long as its former process ran: it
-    // restarted with the same id, a clock that had stepped back and sequence numbers from the start. Heartbeats were
-    // distinguished by id and sequence number only, so those of the new process were late.
+    // restarts with the same id, a clock that has stepped back and sequence numbers from the start. If heartbeats are
+    // distinguished by id and sequence number only, those of the new process are classified as late.
     it("classifies its heartbeats as those of another process", () => {
       expect(createTracker().classify(next).kind).to.equal("unverified");
     });
 
     // Guards against a server that refuses requests for keys which the daemon assumes it to hold: as above, but the
-    // daemon has missed so many heartbeats that the new sequence number is above the old one, which passed for the
-    // former process.
+    // daemon has missed so many heartbeats that the new sequence number is above the old one, so that the heartbeat
+    // is attributed to the former process.
     it("does not attribute a higher sequence number to the former process", () => {
       const status = createTracker().classify({ ...next, sequence: 90 });
       expect(status.kind).to.equal("unverified");
@@ -84,9 +84,9 @@
       );
     });
 
-    // Guards against a running server that loses its grant to a process that has ended: it restarted with the same
-    // id, and a delayed heartbeat of the former process arrives last. The response at the address contains the id of
-    // both, and was taken for proof.
+    // Guards against a running server that loses its grant to a process that has ended: it restarts with the same id,
+    // and a delayed heartbeat of the former process arrives last. The response at the address contains the id of both,
+    // which must not count as proof.
     it("rejects a delayed heartbeat while the running process sends heartbeats", () => {
       const tracker = IncarnationTracker.create();
       tracker.accept(next, 0);
--- a/packages/keyspace/src/load_profile.ts
+++ b/packages/keyspace/src/load_profile.ts
@@ -11,8 +11,8 @@
 const HALF_LIFE_MS = 1_000;
 /** Work is not extrapolated from less than this time, in milliseconds: a few requests are not representative. */
 const MIN_OBSERVED_MS = 400;
-/** A window must carry at least this fraction of the wanted load. */
-const MIN_WINDOW_FRACTION = 0.7;
+/** A window must carry at least this share of the wanted load. */
+const MIN_WINDOW_SHARE = 0.7;
 /** From this weight on all sums are scaled back; a double holds far larger values. */
 const MAX_WEIGHT = 1e12;
 
@@ -33,7 +33,7 @@
   readonly sum: number;
 }
 
-/** Exponentially decaying work by key, in milliseconds of slot time a second. */
+/** Exponentially decaying work by key, in milliseconds of slot time per second. */
 export class LoadProfile {
   private readonly sums = new Float64Array(KEY_COUNT);
   /**
@@ -45,7 +45,7 @@
   private work = 0;
   private squaredWork = 0;
   private decayedAtMs = 0;
-  private firstRecordedMs: number | undefined;
+  private firstRecordedAtMs: number | undefined;
 
   private constructor() {}
 
@@ -56,7 +56,7 @@
 
   /** Records work for a key, in milliseconds of slot time. */
   record(key: number, workMs: number): void {
-    this.firstRecordedMs ??= this.decayedAtMs;
+    this.firstRecordedAtMs ??= this.decayedAtMs;
     this.sums[key] = this.sums[key]! + workMs * this.weight;
     this.work += workMs;
     this.squaredWork += workMs * workMs;
@@ -64,7 +64,7 @@
 
   /**
    * Applies the load that the previous owner measured for keys that were moved from it, in milliseconds of slot time
-   * a second. Without it, an owner would appear as little loaded as before for a second after it has received hot
+   * per second. Without it, an owner would appear as little loaded as before for a second after it has received hot
    * keys, and would be sent more.
    */
   seed(range: KeyRange, load: number): void {
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Work for the keys of ranges, in milliseconds of slot time a second. */
+  /** Work for the keys of ranges, in milliseconds of slot time per second. */
   loadOf(ranges: readonly KeyRange[]): number {
     let sum = 0;
     ranges.forEach(({ from, to }) => {
@@ -105,25 +105,25 @@
   /**
    * Standard deviation of a load's random error, in slots.
    *
-   * An owner in a large fleet serves a few requests a second. Even where all owners have the same load, one may get
+   * An owner in a large fleet serves a few requests per second. Even where all owners have the same load, one may get
    * twice as many requests as another, and the reverse a second later.
    *
    * @param load in slots.
    */
   standardDeviationOf(load: number): number {
     const serviceMs = this.work === 0 ? 0 : this.squaredWork / this.work;
-    const { observedFraction } = this;
+    const { observedShare } = this;
     // A shorter observation has a larger variance.
     return estimateDeviation({ load, serviceMs }) *
-      Math.sqrt((2 - observedFraction) / observedFraction);
+      Math.sqrt((2 - observedShare) / observedShare);
   }
 
   /**
    * Finds the smallest window of adjacent keys among `ranges` that carries about `load`. Few keys with much work are
    * cheap to move: the cost of a move grows with the number of keys and not with their work.
    *
-   * @param wanted `load`: in milliseconds of slot time a second.
-   * @returns `undefined` where no window carries at least `MIN_WINDOW_FRACTION` of the load and not more than all of
+   * @param wanted `load`: in milliseconds of slot time per second.
+   * @returns `undefined` where no window carries at least `MIN_WINDOW_SHARE` of the load and not more than all of
    *   it.
    */
   findSmallestWindow(
@@ -155,7 +155,7 @@
   /**
    * Finds the window of adjacent keys among `ranges` that carries the most work up to `load`.
    *
-   * @param wanted `load`: in milliseconds of slot time a second.
+   * @param wanted `load`: in milliseconds of slot time per second.
    */
   findHeaviestWindow(
     ranges: readonly KeyRange[],
@@ -205,7 +205,7 @@
         from += 1;
       }
       const isShorter = best === undefined || to - from < best.to - best.from;
-      if (sum >= maxSum * MIN_WINDOW_FRACTION && from <= to && isShorter) {
+      if (sum >= maxSum * MIN_WINDOW_SHARE && from <= to && isShorter) {
         best = { from, to };
       }
     }
@@ -222,20 +222,20 @@
   }
 
   /**
-   * Effective time that the sums cover, in seconds. It is shorter at first: without that, an owner that received far
-   * too much work at the start of the traffic would measure a third of it after half a second, and would move keys
-   * away in three rounds rather than one.
+   * Effective time that the sums cover, in seconds. It is shorter at first: otherwise, an owner that receives far too
+   * much work from the start of the traffic would estimate a third of it after half a second, and would move keys away
+   * in three rounds rather than one.
    */
   private get windowSeconds(): number {
-    return HALF_LIFE_MS / 1_000 / Math.LN2 * this.observedFraction;
+    return HALF_LIFE_MS / 1_000 / Math.LN2 * this.observedShare;
   }
 
-  /** Fraction of the work that a long-running profile would cover and that this one can have observed. */
-  private get observedFraction(): number {
-    const { firstRecordedMs, decayedAtMs } = this;
-    const observedMs = firstRecordedMs === undefined
+  /** Share of the work covered by a long-running profile that this one can have observed. */
+  private get observedShare(): number {
+    const { firstRecordedAtMs, decayedAtMs } = this;
+    const observedMs = firstRecordedAtMs === undefined
       ? Infinity
-      : Math.max(MIN_OBSERVED_MS, decayedAtMs - firstRecordedMs);
+      : Math.max(MIN_OBSERVED_MS, decayedAtMs - firstRecordedAtMs);
     return 1 - 2 ** (-observedMs / HALF_LIFE_MS);
   }
 }
--- a/packages/keyspace/src/load_profile_test.ts
+++ b/packages/keyspace/src/load_profile_test.ts
@@ -10,7 +10,7 @@
 const KEY = { from: 7, to: 7 };
 /** Work that arrives every 10 ms, in milliseconds of slot time. */
 const WORK_MS = 5;
-/** The same, in milliseconds of slot time a second. */
+/** The same, in milliseconds of slot time per second. */
 const RATE = WORK_MS * 100;
 /** Service time of a request, and mean time between two requests at random times, in milliseconds. */
 const REQUEST_MS = 300;
@@ -53,9 +53,9 @@
 
 describe("load profile", () => {
   describe("half a second after the first request", () => {
-    // Guards against an owner that refuses most requests for 4 s at the start of the traffic: it had the busiest keys
-    // by chance; after half a second it measured a third of their work, since the average covered time without
-    // traffic, and moved only part of that. A move takes a second, and it needed three of them.
+    // Guards against an owner that refuses most requests for 4 s at the start of the traffic: it has the busiest keys
+    // by chance; after half a second it estimates a third of their work, since the average covers time without
+    // traffic, and moves only part of that. A move takes a second, and it needs three of them.
     it("measures the full work of keys", () => {
       const profile = LoadProfile.create();
       profile.decay(5_000);
--- a/packages/keyspace/src/ownership_lease.ts
+++ b/packages/keyspace/src/ownership_lease.ts
@@ -17,7 +17,7 @@
 
 /**
  * Duration of an ownership lease without promises of the arbiters, in milliseconds. It allows for two failed reads,
- * each with its timeout. The keys of a lost host are unavailable for as long.
+ * each with its timeout. The keys of a lost host are unavailable for this time.
  */
 export const SHORT_LEASE_MS = 4_000;
 
--- a/packages/keyspace/src/ownership_record.ts
+++ b/packages/keyspace/src/ownership_record.ts
@@ -15,7 +15,7 @@
 
 /** The owner of a range. */
 export interface Owner {
-  /** Address of the daemon beside the owning backend server. */
+  /** Address of the daemon on the owning backend server's host. */
   readonly daemon: string;
   /** Proof of an orderly handover by the previous owner; empty where there was none. */
   readonly handover: string;
@@ -104,7 +104,7 @@
     });
   }
 
-  /** The store's revision of this record, ordered across all eras; 0 where the record is not in the store yet. */
+  /** Monotonic revision of this record in the store; 0 where the record is not in the store yet. */
   get revision(): number {
     return this.content.revision;
   }
--- a/packages/keyspace/src/ownership_safety_test.ts
+++ b/packages/keyspace/src/ownership_safety_test.ts
@@ -659,11 +659,11 @@
   describe("with a broken rule", () => {
     const faults: Fault[] = [
       "lease_from_response",
-      "steady_clock",
+      "monotonic_clock",
       "takeover_without_drift",
       "takeover_at_once",
       "reused_seal_id",
-      "release_before_freed",
+      "assign_before_release",
       "restart_without_holds",
       "tokens_from_record",
       "promise_from_response",
@@ -684,7 +684,7 @@
       "settle_at_once",
     ];
     faults.forEach((fault) => {
-      it(`fail the properties: ${fault}`, function () {
+      it(`violate a property: ${fault}`, function () {
         this.timeout(120_000);
         expect(findViolation(fault, RUNS_PER_FAULT)).to.have.length.above(0);
       });
--- a/packages/keyspace/src/plan_assignment.ts
+++ b/packages/keyspace/src/plan_assignment.ts
@@ -14,9 +14,9 @@
 
 /** What a daemon has observed of a service none of whose keys has had an owner yet. */
 export interface FirstAssignmentState {
-  /** Daemons that are known by name and from which no message was received yet. */
+  /** Known daemons that are not alive: no report of them was received yet, or they have become unresponsive. */
   readonly absentDaemons: number;
-  /** Daemons beside a backend server of the service that has not announced itself yet. */
+  /** Daemons on whose hosts a backend server of the service has not announced itself yet. */
   readonly unannouncedBackends: number;
   /** Backend servers that can own keys. */
   readonly candidates: number;
--- a/packages/keyspace/src/plan_assignment_test.ts
+++ b/packages/keyspace/src/plan_assignment_test.ts
@@ -21,14 +21,14 @@
     expect(isFirstAssignmentDue(state)).to.equal(true);
   });
 
-  // Guards against one backend server that owns all keys after a start and refuses most of its requests: the keys were
-  // assigned as soon as all daemons were seen, while other backend servers announced themselves within the next second.
+  // Guards against one backend server that owns all keys after a start and refuses most of its requests: keys are
+  // assigned as soon as all daemons are alive, while other backend servers announce themselves within the next second.
   it("waits for backend servers that have not announced themselves", () => {
     const incomplete = { ...state, unannouncedBackends: 3, candidates: 1 };
     expect(isFirstAssignmentDue(incomplete)).to.equal(false);
   });
 
-  it("waits for daemons that were not seen yet", () => {
+  it("waits for known daemons that are not alive", () => {
     expect(isFirstAssignmentDue({ ...state, absentDaemons: 1 })).to.equal(
       false,
     );
--- a/packages/keyspace/src/plan_rebalance.ts
+++ b/packages/keyspace/src/plan_rebalance.ts
@@ -1,5 +1,5 @@
 /**
- * Decides which keys a hot backend server moves away, and to which owners.
+ * Decides which keys an overutilized backend server moves away, and to which owners.
  *
  * It is designed for two kinds of load: a few adjacent keys get a third of all requests within a second while the other
  * backend servers have headroom; and one key gets more requests than any one server can serve.
@@ -19,27 +19,27 @@
 import type { LoadProfile } from "./load_profile.ts";
 import { type KeyRange, RangeMap } from "./range_map.ts";
 
-/** Fraction of the allocated work that is moved at once, so that source and recipient don't swap loads. */
-const MOVED_FRACTION = 0.8;
+/** Share of the allocated work that is moved at once, so that source and recipient don't swap loads. */
+const MOVED_SHARE = 0.8;
 /** The same for an overloaded owner: it refuses requests until the last round of moves is done. */
-const MOVED_FRACTION_OVERLOADED = 1;
+const MOVED_SHARE_OVERLOADED = 1;
 /**
- * Minimum work that is worth a move, in milliseconds of slot time a second: one or two requests. Below it the profile
+ * Minimum work that is worth a move, in milliseconds of slot time per second: one or two requests. Below it the profile
  * shows random variation rather than load, and moves by chance would split the key space into single keys.
  */
 const MIN_MOVED_WORK_MS = MIN_HEADROOM * 1_000;
 /**
- * A key is heavy from this fraction of its owner's capacity on. It is below 1 since the profile lags: a key that has
+ * A key is heavy from this share of its owner's capacity on. It is below 1 since the profile lags: a key that has
  * just become hot would otherwise be detected only after a round of other moves, a second later.
  */
-const HEAVY_KEY_FRACTION = 0.5;
-/** A heavy key moves only to an owner whose utilization with it is below this fraction of the source's. */
+const HEAVY_KEY_SHARE = 0.5;
+/** A heavy key moves only to an owner whose utilization with it is below this multiple of the source's. */
 const MAX_RELATIVE_UTILIZATION = 0.75;
 
 /** A move of keys to another owner. */
 export interface PlannedMove extends KeyRange {
   readonly daemon: string;
-  /** Work that the keys will cause there, in milliseconds of slot time a second. */
+  /** Work that the keys will cause there, in milliseconds of slot time per second. */
   readonly load: number;
 }
 
@@ -53,10 +53,10 @@
 }
 
 /**
- * Plans moves from one hot owner to owners below the target utilization. Each recipient gets as few keys as possible:
+ * Plans moves from one owner to others below the target utilization. Each recipient gets as few keys as possible:
  * the cost of a move depends on the number of keys and not on their work.
  *
- * Every hot owner plans independently, from the same load reports, and uses only its own part of each recipient's
+ * Every source plans independently, from the same load reports, and uses only its own part of each recipient's
  * headroom (`allocateHeadroom`). If every one filled the least loaded owner, that would be the most loaded a second
  * later.
  *
@@ -107,7 +107,7 @@
   const heaviest = profile.findHeaviestKey(ranges);
   return heaviest !== undefined &&
       loadAt(heaviest, { source, profile }) >
-        source.capacity * HEAVY_KEY_FRACTION
+        source.capacity * HEAVY_KEY_SHARE
     ? heaviest
     : undefined;
 }
@@ -187,10 +187,10 @@
 ): KeyRange | undefined {
   const { source, allocation, isKeyless } = move;
   const { profile, movable, remainingLoad } = keys;
-  const movedFraction = source.utilization > OVERLOADED_UTILIZATION
-    ? MOVED_FRACTION_OVERLOADED
-    : MOVED_FRACTION;
-  const load = allocation.amount * movedFraction * source.slowness * 1_000;
+  const movedShare = source.utilization > OVERLOADED_UTILIZATION
+    ? MOVED_SHARE_OVERLOADED
+    : MOVED_SHARE;
+  const load = allocation.amount * movedShare * source.slowness * 1_000;
   if (load < MIN_MOVED_WORK_MS && !isKeyless) {
     return undefined;
   }
--- a/packages/keyspace/src/plan_rebalance_test.ts
+++ b/packages/keyspace/src/plan_rebalance_test.ts
@@ -24,7 +24,7 @@
   profile.decay(60_000);
 }
 
-/** Work by key, in milliseconds of slot time a second, unevenly distributed among the hot keys. */
+/** Work by key, in milliseconds of slot time per second, unevenly distributed among the hot keys. */
 function createWork(): number[] {
   const ranks = Array.from(
     { length: HOT_KEYS },
@@ -93,8 +93,9 @@
 
 describe("rebalance of hot keys in a large fleet", () => {
   // Guards against requests for hot keys that are refused for as long as the keys are hot, while most of 30 owners
-  // are idle: 200 adjacent keys get two fifths of the work, eight times what their owner can do. It moved the keys of
-  // whole buckets only, each with more work than any other owner's headroom, and to four owners at a time.
+  // are idle: 200 adjacent keys get two fifths of the work, eight times what their owner can do. If keys are moved only
+  // in fixed groups, each with more work than any recipient's headroom, and to four recipients at a time, the hot keys
+  // stay where they are.
   it("brings the hottest owner below its capacity within three rounds", () => {
     const fleet = new Fleet(createWork());
     expect(fleet.maxUtilization).to.be.above(7);
@@ -155,7 +156,7 @@
   }
 
   // Guards against keys that move back and forth while one owner after the other is offered three times what it can
-  // do: two hot owners each moved as much as the headroom of the same least utilized owner. Each planned as if it
+  // do: two hot owners each move as much as the headroom of the same least utilized owner, since each plans as if it
   // were the only one, and by the work of keys at its own speed.
   it("fills no recipient far beyond the mean", () => {
     const { after } = planAll([2.4, 1.6, 0.3, 0.2, 0.4, 0.5]);
@@ -163,7 +164,7 @@
   });
 
   // Guards against two owners that refuse two of three requests under overload while the others have free slots: all
-  // together are offered more than they can do, and recipients were filled to a utilization of 0.8 only, to avoid the
+  // together are offered more than they can do, and recipients are filled to a utilization of 0.8 only, to avoid the
   // few requests that they would refuse.
   it("brings the hottest owner near the mean within three rounds, even under overload", () => {
     const first = planAll([3.2, 2.4, 0.6, 0.6, 0.7, 0.8]).after;
@@ -176,7 +177,7 @@
   // Guards against one key with two fifths of all requests of which two of three are refused for 5 s, as are requests
   // for the other keys of its owner, while five owners have headroom: the key alone causes four times what its slow
   // owner can do, no recipient would be less utilized with it than the owner without it, and the owner's other keys
-  // have less work than the recipients' headroom. A key that overloads every owner stayed where it was, and so did
+  // have less work than the recipients' headroom. A key that overloads every owner then stays where it is, and so do
   // the owner's other keys.
   it("moves a key that overloads every owner to a fast one, and other keys away from there", () => {
     const loads = [0.4, 0.5, 4.8, 0.6, 0.5, 0.6];
--- a/packages/keyspace/src/rebalance_cost_test.ts
+++ b/packages/keyspace/src/rebalance_cost_test.ts
@@ -51,10 +51,10 @@
 
 describe("rebalance by 98 owners", () => {
   // Guards against 63 owners that move keys in the first second of the traffic, where 250 of 287 writes of the one
-  // record conflict and moved keys remain without an owner: each owner gets about six requests a second, by chance
-  // more or fewer than others, and owners with more moved the keys of these requests to those with fewer, since the
-  // random error of a load measured from a few requests was not considered. With the seeds below that took 640 writes
-  // in 20 s and moved two fifths of the keys, and owners received up to four times what they can do.
+  // record conflict and moved keys remain without an owner: each owner gets about six requests per second, by chance
+  // more or fewer than others. If the random error of a load measured from a few requests is ignored, owners with more
+  // move the keys of these requests to those with fewer. With the seeds below, that takes 640 writes in 20 s and moves
+  // two fifths of the keys, and owners receive up to four times what they can do.
   SEEDS.forEach((seed) =>
     it(`moves few keys while all keys cause the same work, seed ${seed}`, () => {
       const simulation = createSimulation(seed, () => EVEN_POPULARITY);
--- a/packages/keyspace/src/restore_timer.ts
+++ b/packages/keyspace/src/restore_timer.ts
@@ -8,7 +8,7 @@
 
 /**
  * How long a daemon waits between detecting a rollback of the store and restoring the record, in milliseconds: within a
- * round of gossip, it receives a later record than its own if another daemon has one.
+ * gossip round, it receives a later record than its own if another daemon has one.
  */
 const GATHER_WINDOW_MS = 700;
 
--- a/packages/keyspace/src/testing/ownership_simulation.ts
+++ b/packages/keyspace/src/testing/ownership_simulation.ts
@@ -33,16 +33,16 @@
 export type Fault =
   /** A lease counts from when the store's response was received. */
   | "lease_from_response"
-  /** A lease is measured by a clock that stops during a suspension. */
-  | "steady_clock"
+  /** A lease is measured by the monotonic clock, which stops during a suspension. */
+  | "monotonic_clock"
   /** A takeover waits for the lease by its own clock, without allowing for the drift of other clocks. */
   | "takeover_without_drift"
   /** A takeover assigns the keys without waiting. */
   | "takeover_at_once"
   /** Seals have no unique id: the wait counts from the first one that was observed. */
   | "reused_seal_id"
-  /** A release is written before the backend server has given the keys back. */
-  | "release_before_freed"
+  /** Keys are assigned to another owner before the backend server has released them. */
+  | "assign_before_release"
   /** A restarted daemon assumes that its backend server holds no keys. */
   | "restart_without_holds"
   /** Tokens of a restarted daemon are derived from the record alone. */
@@ -80,45 +80,60 @@
   /** A restored record takes full effect at once. */
   | "settle_at_once";
 
-/** One step of a schedule. */
+/** One step of a schedule; `a` and `b` are its parameters, whose meaning is stated at each kind that uses them. */
 export interface Step {
   readonly kind: StepKind;
-  /** Selects the host. */
+  /** Index of the host, modulo the number of hosts. */
   readonly host: number;
-  /** Delays and durations, in milliseconds, or choices, depending on the kind. */
   readonly a: number;
   readonly b: number;
 }
 
-/** The kinds of steps. */
+/** The kinds of steps. In steps that involve another host, `b` selects which of the others it is. */
 export const STEP_KINDS = [
+  /** The time advances by `4 * a` ms. */
   "advance",
+  /** A heartbeat whose request is delayed by `a % 40` ms, and its response by `b % 40` ms. */
   "heartbeat",
+  /** A heartbeat whose request is delayed by `3 * a` ms, and its response by `b` ms. */
   "late_heartbeat",
+  /** A read of the store whose request is delayed by `a % 200` ms, and its response by `2 * b` ms. */
   "confirm",
+  /** A shared read by the other host, which collects requests for `a % 400` ms; the response takes `2 * b` ms. */
   "shared_confirm",
   "release",
+  /** Released keys are assigned to the other host; the write takes `5 * a` ms if `b` is divisible by 3, else 2 ms. */
   "publish",
+  /** The host seals the other host. */
   "seal",
+  /** The host takes the other host over. */
   "take_over",
   "unseal",
   "crash_server",
   "restart_server",
   "restart_daemon",
+  /** The daemon is suspended for `20 * a` ms. */
   "suspend",
+  /** The store is unreachable for `10 * a` ms. */
   "outage",
+  /** Arbiters are appointed: by `a % 3` the host, the host and the other host, or the other host. */
   "appoint",
+  /** Promises are requested; the requests are delayed by `a % 50` ms, and the responses by `5 * b` ms. */
   "request_promises",
+  /** Another writer replaces the record if `b` is even, and deletes it otherwise. */
   "corrupt",
+  /** A corrupt record is replaced; the write takes `5 * a` ms if `b` is divisible by 3, else 2 ms. */
   "repair",
+  /** The store is restored from an older snapshot, so that `1 + a % 6` changes are lost. */
   "roll_back",
+  /** The record is restored; the write takes `5 * a` ms if `b` is divisible by 3, else 2 ms. */
   "restore",
   "settle",
 ] as const;
 /** The kind of a step. */
 export type StepKind = typeof STEP_KINDS[number];
 
-/** Fraction by which the clocks of backend servers run slow. */
+/** Share by which the clocks of backend servers run slow. */
 const SERVER_CLOCK_DRIFT = 0.02;
 /** After this time a response to a heartbeat is ignored, in milliseconds. */
 const RESPONSE_TIMEOUT_MS = 1_000;
@@ -128,7 +143,7 @@
 const UNRESPONSIVE_MS = 2_500;
 /** Maximum number of changes that the store loses in a rollback. */
 const MAX_LOST_SNAPSHOTS = 6;
-/** Distance of the revisions of consecutive eras in the order across all eras. */
+/** Difference between the monotonic revisions of consecutive eras. */
 const REVISIONS_PER_ERA = toMonotonicRevision({ era: 1, revision: 1 }) - 1;
 /** Clock rates of the daemons. */
 const DAEMON_CLOCK_RATES = [1.009, 0.991, 1, 1.005];
@@ -324,7 +339,7 @@
     }
   }
 
-  /** The current revision in the order across all eras. */
+  /** The current monotonic revision. */
   private currentRevision(): number {
     const era = this.fault === "order_without_era" ? 0 : this.era;
     return toMonotonicRevision({ era, revision: this.revision });
@@ -351,7 +366,7 @@
     );
   }
 
-  /** A revision of an earlier era as a revision of the current one. */
+  /** The monotonic revision in the current era of a store revision that was assigned in an earlier era. */
   private inCurrentEra(revision: number): number {
     const era = this.fault === "order_without_era" ? 0 : this.era;
     return toMonotonicRevision({ era, revision: revisionInEra(revision) });
@@ -415,9 +430,11 @@
     this.advance(1);
   }
 
-  /** A daemon's clock, which continues during suspensions unless `steady_clock` is set. */
+  /** A daemon's clock, which continues during suspensions unless `monotonic_clock` is set. */
   private clockOf(host: Host): number {
-    const suspendedMs = this.fault === "steady_clock" ? host.suspendedForMs : 0;
+    const suspendedMs = this.fault === "monotonic_clock"
+      ? host.suspendedForMs
+      : 0;
     return (this.nowMs - suspendedMs) * host.rate;
   }
 
@@ -796,7 +813,7 @@
     });
   }
 
-  /** Gives a restored record full effect, once no backend server holds keys by a lost one. */
+  /** Settles a restored record, once no backend server holds keys by a lost one. */
   private settle(host: Host): void {
     const isSettled = this.fault === "settle_at_once" ||
       host.restoreTimer.isSettled(this.clockOf(host));
@@ -838,7 +855,7 @@
     if (!this.isRunning(host)) {
       return;
     }
-    const released = this.fault === "release_before_freed"
+    const released = this.fault === "assign_before_release"
       ? host.record.rangesOf(host.name).slice(0, 1)
       : host.grants.findReleased(this.clockOf(host));
     const ownRanges = released.flatMap((range) =>
@@ -1027,7 +1044,7 @@
   }
 }
 
-/** The store's own revision, from a revision in the order across all eras. */
+/** The store's own revision of a monotonic revision. */
 function revisionInEra(revision: number): number {
   return revision % REVISIONS_PER_ERA;
 }
--- a/packages/keyspace/src/testing/rebalance_simulation.ts
+++ b/packages/keyspace/src/testing/rebalance_simulation.ts
@@ -40,7 +40,7 @@
 export interface RebalanceScenario {
   readonly owners: number;
   readonly slots: number;
-  /** Requests a second for all keys together, and the mean service time of one, in milliseconds. */
+  /** Requests per second for all keys together, and the mean service time of one, in milliseconds. */
   readonly requestsPerSecond: number;
   readonly meanServiceMs: number;
   /** Share of the requests that each key gets from the given time on. */
--- a/packages/keyspace/src/write_backoff.ts
+++ b/packages/keyspace/src/write_backoff.ts
@@ -5,7 +5,7 @@
  */
 
 /**
- * Minimum delay after a conflict, in milliseconds: within it, the update about the other writer's change has usually
+ * Minimum delay after a conflict, in milliseconds: within it, the update about the other writer's change has typically
  * been received, and the record need not be read from the store.
  */
 const MIN_DELAY_MS = 15;
--- a/packages/keyspace/src/write_backoff_test.ts
+++ b/packages/keyspace/src/write_backoff_test.ts
@@ -95,9 +95,9 @@
 }
 
 describe("backoff of the writers of one record", () => {
-  // Guards against conflicts of 250 of 287 writes of the record in one second, each of them a call to the store and
-  // so the read after it: 63 owners released keys within a quarter of a second, and writers that lost to the same
-  // write read and wrote again at the same time, so that all but one of them lost again.
+  // Guards against conflicts of 250 of 287 writes of the record in one second, each of which costs two calls to the
+  // store, the write and the read after it: 63 owners release keys within a quarter of a second, and writers that
+  // conflict with the same write read and write again at the same time, so that all but one of them conflict again.
   it("needs less than a third of the calls of immediate retries", () => {
     const scenario = { writers: 63, withinMs: 250 };
     const withoutBackoff = simulate({ ...scenario, backsOff: false });
