--- a/packages/keyspace/src/testing/ownership_simulation.ts
+++ b/packages/keyspace/src/testing/ownership_simulation.ts
@@ -130,7 +130,6 @@
   "restore",
   "settle",
 ] as const;
-/** The kind of a step. */
 export type StepKind = typeof STEP_KINDS[number];
 
 /** Share by which the clocks of backend servers run slow. */
--- a/packages/membership/src/gossip_codec.ts
+++ b/packages/membership/src/gossip_codec.ts
@@ -47,7 +47,7 @@
   /** Address of the sending daemon. */
   readonly sender: string;
   readonly reports: readonly MemberReport[];
-  /** Digests of the latest sequence numbers that the sender knows of other daemons, and of its own. */
+  /** Digests with the latest sequence numbers of the sender and of other daemons, as known to the sender. */
   readonly digests: readonly HeartbeatDigest[];
 }
 
@@ -68,7 +68,7 @@
   });
 }
 
-/** Identifies a report, and tells whether it is newer than another one of the same daemon. */
+/** Identifies a report, and determines whether it is newer than another one of the same daemon. */
 export type ReportVersion = Pick<
   MemberReport,
   "address" | "incarnation" | "sequence"
@@ -78,7 +78,7 @@
  * Decodes a datagram. Anybody can send one, so its entire content is validated.
  *
  * @param isUpdate whether a report is newer than what is known; others are dropped without validation. Most reports
- *   of a datagram have arrived before, and validating all of them took 1/8 of the CPU time of an idle daemon.
+ *   of a datagram have arrived before, and validating all of them takes 1/8 of the CPU time of an idle daemon.
  * @returns the content, with only those reports for which `isUpdate` holds; `invalid` if a part can't be decoded.
  */
 export function decodeGossip(
@@ -110,7 +110,7 @@
 
 /**
  * Whether a row has a valid address, incarnation and sequence number. One without them never compares as newer and
- * would be dropped silently, so it would go unnoticed that a daemon sends reports that others can't read.
+ * would be dropped without a log entry, although its sender's reports can't be read by others.
  */
 function hasVersion(row: readonly unknown[]): boolean {
   const [address, incarnation, sequence] = row;
--- a/packages/membership/src/gossip_targets.ts
+++ b/packages/membership/src/gossip_targets.ts
@@ -6,7 +6,7 @@
 import type { MemberView } from "./member_view.ts";
 import { sampleWithoutReplacement } from "./sample_without_replacement.ts";
 
-/** Recipients per round in the own availability zone. */
+/** Recipients per round in this daemon's availability zone. */
 const OWN_ZONE_FANOUT = 2;
 /**
  * Recipients per round in other availability zones. Traffic to them is charged by the byte, and one is enough
@@ -15,10 +15,10 @@
 const OTHER_ZONE_FANOUT = 1;
 /** Recipients per round while no other daemon is known to be alive. */
 const BOOTSTRAP_FANOUT = 3;
-/** Probability that a round also sends to a daemon that is unresponsive or has never been heard from. */
+/** Probability that gossip is also sent to a daemon that is unresponsive or from which no report was received. */
 const PROBE_PROBABILITY = 0.2;
 
-/** Chooses the addresses to which one round of gossip is sent. */
+/** Chooses the recipients of one gossip round; returns their addresses. */
 export function chooseGossipTargets(
   view: MemberView,
   now: { nowMs: number; random: () => number },
--- a/packages/membership/src/heartbeat_digest.ts
+++ b/packages/membership/src/heartbeat_digest.ts
@@ -1,9 +1,10 @@
 /**
  * Compact encoding of the latest sequence numbers of many daemons' reports.
  *
- * A full report takes about 90 bytes, so a datagram holds only a few, and in a fleet of 59 daemons that lost 10 % of
- * its datagrams, 1 pair of daemons in 200 considered each other unresponsive at any moment. The digests of all daemons
- * fit into each datagram: in simulations of 59 and 195 daemons, 99 % of the sequence numbers are at most 1 s old.
+ * A full report takes about 90 bytes, so a datagram holds only a few. With reports alone, in a fleet of 59 daemons that
+ * loses 10 % of its datagrams, 1 pair of daemons in 200 considers each other unresponsive at any time. The digests of
+ * all daemons fit into each datagram: with them, 99 % of the sequence numbers in fleets of 59 and 195 daemons are at
+ * most 1 s old.
  *
  * @module
  */
--- a/packages/membership/src/member.ts
+++ b/packages/membership/src/member.ts
@@ -46,7 +46,7 @@
   serviceMs: z.number().min(0),
   /** Offered load per slot; 1 when all slots are busy. */
   utilization: z.number().min(0),
-  /** Fraction of recent requests that failed at the backend server. */
+  /** Share of recent requests that failed at the backend server. */
   failureShare: z.number().min(0).max(1),
   /** Version of the traffic configuration that the daemon has in force. */
   configurationVersion: z.number().min(0),
--- a/packages/membership/src/member_view.ts
+++ b/packages/membership/src/member_view.ts
@@ -14,19 +14,19 @@
 
 /**
  * A daemon whose sequence number has not advanced for this time counts as unresponsive. Each datagram carries the
- * digests of all daemons, so the time suffices for 195 daemons as well as for 12 (simulated in the test).
+ * digests of all daemons, so the time suffices for 195 daemons as well as for 12, as the test checks by simulation.
  */
 const UNRESPONSIVE_TIMEOUT_MS = 2_500;
-/** At 9 bytes each. Larger fleets send a random subset in each datagram. */
+/** Digests take 9 bytes each. In larger fleets, each datagram carries a random subset. */
 const MAX_DIGESTS_PER_MESSAGE = 200;
 /**
  * How long the digests of unresponsive daemons are still sent. They let a restarted daemon learn of the earlier
  * process at its address; otherwise the others would ignore its reports for as long as that process had run.
  */
 const DIGEST_RETENTION_MS = 60_000;
-/** For responses to requests for reports: about 2,500 bytes. */
+/** Maximum number of reports in a response to a request for reports: about 2,500 bytes. */
 const MAX_REPORTS_PER_RESPONSE = 28;
-/** About 1,250 bytes. */
+/** Maximum number of reports in a gossip message: about 1,250 bytes. */
 const MAX_REPORTS_PER_MESSAGE = 14;
 
 /**
@@ -57,7 +57,7 @@
   /** Addresses by their hash, of all daemons from which a report was received. */
   private readonly addressByHash = new Map<number, string>();
   /** Addresses found in the store from which no report was received yet. */
-  private readonly unheardAddresses = new Set<string>();
+  private readonly unreportedAddresses = new Set<string>();
   private readonly readyCache = new Map<string, CachedReadyReports>();
 
   private readonly ownAddressHash: number;
@@ -66,17 +66,17 @@
     this.ownAddressHash = hashAddress(own.address);
   }
 
-  /** Creates a view that knows only the own daemon. */
+  /** Creates a view that knows only this daemon. */
   static create(own: MemberReport): MemberView {
     return new MemberView(own);
   }
 
-  /** The daemon's own report. */
+  /** This daemon's report. */
   get ownReport(): MemberReport {
     return this.own;
   }
 
-  /** Changes the own report and increases its sequence number. */
+  /** Changes this daemon's report and increases its sequence number. */
   updateOwnReport(changes: Partial<MemberReport>): void {
     this.own = { ...this.own, ...changes, sequence: this.own.sequence + 1 };
   }
@@ -84,7 +84,7 @@
   /** Adds the address of a daemon from which no report was received yet. */
   addAddress(address: string): void {
     if (address !== this.own.address && !this.entries.has(address)) {
-      this.unheardAddresses.add(address);
+      this.unreportedAddresses.add(address);
     }
   }
 
@@ -105,7 +105,7 @@
    * Applies the sequence numbers of digests.
    *
    * @returns the address hashes for which reports should be requested from the sender of the digests: those of daemons
-   *   without a known report, and the own one if a digest is of another process at this address.
+   *   without a known report, and this daemon's if a digest is of another process at its address.
    */
   mergeDigests(digests: readonly HeartbeatDigest[], nowMs: number): number[] {
     const missingReports: number[] = [];
@@ -134,7 +134,7 @@
     return missingReports;
   }
 
-  /** Whether a digest of the own address comes from this process. */
+  /** Whether a digest of this daemon's address is of this process. */
   private isOwnProcess({ incarnation, sequence }: HeartbeatDigest): boolean {
     const own = createDigest(this.ownAddressHash, this.own);
     return incarnation === own.incarnation && sequence <= own.sequence;
@@ -169,7 +169,7 @@
       .map(({ report }) => report);
   }
 
-  /** The reports of live daemons, including the own one, whose backend servers accept requests for a service. */
+  /** The reports of alive daemons, including this one, whose backend servers accept requests for a service. */
   readyReports(service: string, nowMs: number): readonly MemberReport[] {
     const cached = this.readyCache.get(service);
     if (
@@ -202,13 +202,13 @@
 
   /** Addresses of all other daemons from which a report was received or whose address was added. */
   get knownAddresses(): string[] {
-    return [...this.entries.keys(), ...this.unheardAddresses];
+    return [...this.entries.keys(), ...this.unreportedAddresses];
   }
 
   /**
-   * Chooses the reports of one datagram: the own one and the least sent of the others. If all had equal chances,
-   * the median age of what 59 daemons know of each other would be 2.5 s instead of 2.0 s (simulated with 8 reports
-   * per datagram every 500 ms).
+   * Chooses the reports of one datagram: this daemon's and the least sent of the others. If all were chosen with equal
+   * probability, the median age of the reports that 59 daemons have of each other would be 2.5 s instead of 2.0 s, at
+   * 8 reports per datagram every 500 ms.
    */
   chooseReports(now: { nowMs: number; random: () => number }): MemberReport[] {
     const alive = [...this.entries.values()].filter(({ advancedAtMs }) =>
@@ -230,18 +230,18 @@
   }
 
   /**
-   * Chooses the digests of one datagram: the own one and as many of the others as fit, without daemons that have been
-   * unresponsive for long.
+   * Chooses the digests of one datagram: this daemon's and as many of the others as fit, without daemons that have been
+   * unresponsive for longer than `DIGEST_RETENTION_MS`.
    */
   chooseDigests(
     now: { nowMs: number; random: () => number },
   ): HeartbeatDigest[] {
-    const remembered = [...this.entries.values()].filter(({ advancedAtMs }) =>
-      now.nowMs - advancedAtMs <= DIGEST_RETENTION_MS
-    );
-    const selected = remembered.length < MAX_DIGESTS_PER_MESSAGE
-      ? remembered
-      : sampleWithoutReplacement(remembered, {
+    const recentEntries = [...this.entries.values()].filter((
+      { advancedAtMs },
+    ) => now.nowMs - advancedAtMs <= DIGEST_RETENTION_MS);
+    const selected = recentEntries.length < MAX_DIGESTS_PER_MESSAGE
+      ? recentEntries
+      : sampleWithoutReplacement(recentEntries, {
         count: MAX_DIGESTS_PER_MESSAGE - 1,
         ...now,
       });
@@ -252,7 +252,7 @@
   }
 
   /**
-   * Raises the own incarnation if others hold a report of an earlier process at this address, so that new reports
+   * Raises this daemon's incarnation if others hold a report of an earlier process at its address, so that new reports
    * supersede it.
    */
   private supersedeEarlierProcess(report: MemberReport): boolean {
@@ -267,7 +267,7 @@
     if (known !== undefined && !isNewer(report, known.report)) {
       return false;
     }
-    this.unheardAddresses.delete(report.address);
+    this.unreportedAddresses.delete(report.address);
     const isSameIncarnation = report.incarnation === known?.report.incarnation;
     const hasAdvanced = !isSameIncarnation || report.sequence > known!.sequence;
     const sequence = hasAdvanced ? report.sequence : known!.sequence;
--- a/packages/membership/src/membership_test.ts
+++ b/packages/membership/src/membership_test.ts
@@ -31,7 +31,7 @@
   };
 }
 
-/** Time between two rounds of gossip. */
+/** Interval between gossip rounds. */
 const GOSSIP_INTERVAL_MS = 500;
 /** Allows for a busy machine, on which the simulation of a large fleet takes long. */
 const SIMULATION_TIMEOUT_MS = 120_000;
@@ -99,7 +99,7 @@
     });
   });
 
-  describe("when others hold a report of an earlier process at the own address", () => {
+  describe("when others hold a report of an earlier process at this daemon's address", () => {
     // Guards against a restarted daemon that the others consider unresponsive for as long as its earlier process
     // had run: its sequence numbers restart at 0, so its reports look older than the known one.
     it("supersedes it with a new incarnation", () => {
@@ -117,7 +117,7 @@
     });
   });
 
-  /** Simulates rounds of gossip in which 10 % of the datagrams are lost; returns the views of all daemons. */
+  /** Simulates gossip rounds in which 10 % of the datagrams are lost; returns the views of all daemons. */
   function simulateGossip(size: number, rounds: number): MemberView[] {
     const random = seededRandom(7);
     const views = Array.from({ length: size }, (_, index) => {
@@ -153,9 +153,9 @@
     return views;
   }
 
-  // Guards against slow failure detection: at 195 daemons a lost one counted as alive for 10 s, and live ones as
-  // unresponsive. Liveness was sent only as part of full reports, of which a datagram holds 8, so that updates on each
-  // daemon arrived at random after seconds.
+  // Guards against slow failure detection: at 195 daemons a lost one counts as alive for 10 s, and alive ones as
+  // unresponsive. If sequence numbers are sent only as part of full reports, of which a datagram holds 8, those of a
+  // given daemon arrive at random times, seconds apart.
   [72, 195].forEach((size) => {
     describe(`with ${size} daemons in three availability zones`, () => {
       it("considers no daemon unresponsive, although 10 % of the datagrams are lost", function () {
--- a/packages/membership/src/report_row.ts
+++ b/packages/membership/src/report_row.ts
@@ -1,5 +1,5 @@
 /**
- * Decodes a report from the list of values as which it is sent.
+ * Decodes a report from the list of values in its transmitted form.
  *
  * @module
  */
@@ -10,9 +10,9 @@
 /**
  * Validates values in the order of the schema's fields; returns `undefined` if the schema would reject them.
  *
- * Written by hand instead of using the schema: a datagram contains a dozen new reports, and building objects from
- * them and validating these with the schema took 0.3 ms of the 0.6 ms that such a datagram takes in a daemon's
- * first minute. A test compares this function with the schema.
+ * It does not use the schema: a datagram contains a dozen new reports in a daemon's first minute, and building objects
+ * from them and validating these with the schema takes 0.3 ms of the 0.6 ms that such a datagram takes to process. A
+ * test compares this function with the schema.
  */
 export function decodeReportRow(
   row: readonly unknown[],
--- a/packages/membership/src/watch_poll_schedule.ts
+++ b/packages/membership/src/watch_poll_schedule.ts
@@ -1,14 +1,14 @@
 /**
  * Chooses the timeouts of the long polls by which a daemon watches the store.
  *
- * A watch whose connection is dead looks like one without changes. Renewing the poll distinguishes the two.
+ * A watch whose connection is dead is indistinguishable from one without changes until its poll is renewed.
  *
  * @module
  */
 
-/** Bounds the number of renewals, each of which counts as a call to the store. */
+/** Maximum poll timeout; it bounds the number of renewals, each of which is a call to the store. */
 const MAX_TIMEOUT_MS = 28_000;
-/** Mean time between two renewals in the whole fleet. A daemon that sees a change notifies the others. */
+/** Mean time between two renewals in the whole fleet. A daemon that receives a change notifies the others. */
 const MEAN_RENEWAL_INTERVAL_MS = 350;
 
 /** The poll timeouts of one daemon's watch. */
--- a/packages/membership/src/watch_poll_schedule_test.ts
+++ b/packages/membership/src/watch_poll_schedule_test.ts
@@ -18,8 +18,8 @@
 const MAX_MEAN_GAP_MS = 500;
 /** Operators' changes must be in force within 2 s. */
 const MAX_GAP_MS = 2_000;
-/** Fraction of the time that may lie in larger gaps, since timeouts are drawn at random. */
-const MAX_LARGE_GAP_FRACTION = 0.02;
+/** Share of the time that may lie in larger gaps, since timeouts are drawn at random. */
+const MAX_LARGE_GAP_SHARE = 0.02;
 /** Time after which a starting daemon knows the others. */
 const DISCOVERY_MS = 400;
 
@@ -36,7 +36,7 @@
   return values.reduce((total, value) => total + value, 0);
 }
 
-/** Times of all renewals of daemons that start together at 0 and see a change after half of the time. */
+/** Times of all renewals of daemons that start together at 0 and receive a change after half of the time. */
 function simulateRenewals(daemons: number, random: () => number): number[] {
   return Array.from({ length: daemons }, () => {
     const schedule = WatchPollSchedule.create(random);
@@ -74,7 +74,7 @@
         const mean = sum(gaps) / gaps.length;
         const largeGaps = gaps.filter((gap) => gap > MAX_GAP_MS);
         expect(sum(largeGaps) / sum(gaps)).to.be.at.most(
-          MAX_LARGE_GAP_FRACTION,
+          MAX_LARGE_GAP_SHARE,
         );
         expect(mean).to.be.at.most(MAX_MEAN_GAP_MS * 1.05);
       });
--- a/packages/router/src/assignment_manager.ts
+++ b/packages/router/src/assignment_manager.ts
@@ -1,6 +1,6 @@
 /**
- * Assigns keys without an owner, takes over the keys of lost owners, and appoints arbiters: what the leading daemon
- * does for all owners of a service.
+ * Assigns keys without an owner, takes over the keys of lost owners, and appoints arbiters. Each daemon runs this code;
+ * it acts only where the daemon leads the fleet or is an arbiter.
  *
  * @module
  */
@@ -23,13 +23,13 @@
 import type { RecordWriter } from "./record_writer.ts";
 
 /**
- * An owner is sealed when it has been unresponsive for this much longer than the time-out of the member view, in ms.
+ * An owner is sealed when it has been unresponsive for this much longer than the timeout of the member view, in ms.
  */
 const SEAL_DELAY_MS = 500;
 /** A daemon leads only after it has received the reports of the others for this long, in milliseconds. */
 const MIN_OBSERVATION_MS = 1_500;
 
-/** Dependencies of the ownership leader. */
+/** Dependencies of the assignment manager. */
 export interface AssignmentManagerContext {
   readonly view: MemberView;
   readonly directory: OwnershipDirectory;
@@ -38,7 +38,7 @@
   readonly backendManager: () => BackendManager;
 }
 
-/** One daemon's part in assigning keys, as the leader or as an arbiter. */
+/** Assigns keys, as the leading daemon or as an arbiter. */
 export class AssignmentManager {
   private readonly takeoverTimers = new Map<string, TakeoverTimers>();
   private readonly arbiterStates = new Map<string, ArbiterState>();
@@ -48,7 +48,7 @@
 
   private constructor(private readonly context: AssignmentManagerContext) {}
 
-  /** Creates a leader that knows no record yet. */
+  /** Creates a manager that knows no record yet. */
   static create(context: AssignmentManagerContext): AssignmentManager {
     return new AssignmentManager(context);
   }
@@ -59,7 +59,7 @@
     this.arbiterStates.forEach((state) => state.recordStartRevision(revision));
   }
 
-  /** Takes in the seals and appointments of a record; the waits before a takeover count from them. */
+  /** Records the seals and appointments of a record; the waits before a takeover count from now for new ones. */
   observeRecord(service: string, record: OwnershipRecord): void {
     const timers = this.takeoverTimers.get(service) ?? TakeoverTimers.create();
     this.takeoverTimers.set(service, timers);
@@ -104,7 +104,7 @@
       this.findOtherLeader() === undefined;
   }
 
-  /** The leading daemon, if it is another one: the first in the order of addresses that reaches the store. */
+  /** The leading daemon, if it is another one: the first in the order of addresses that can reach the store. */
   findOtherLeader(): string | undefined {
     const firstAddress = this.context.view.alive(monotonicMs())
       .filter(({ reachesStore, phase }) => reachesStore && phase !== "stopping")
@@ -116,7 +116,7 @@
     return firstAddress === this.ownAddress ? undefined : firstAddress;
   }
 
-  /** The shared reader, if any daemon reaches the store: the leading daemon, which reads for itself, too. */
+  /** The shared reader, if any daemon can reach the store: the leading daemon, which then reads for itself, too. */
   findReader(): string | undefined {
     return this.findOtherLeader() ??
       (this.context.view.ownReport.reachesStore ? this.ownAddress : undefined);
@@ -206,7 +206,7 @@
       );
   }
 
-  /** Appoints live daemons as arbiters, so that the keys of a lost host can be reassigned soon. */
+  /** Appoints alive daemons as arbiters, so that the keys of a lost host can be reassigned soon. */
   private appointArbiters(service: string, known: OwnershipRecord): void {
     const currentArbiters = known.arbiters.map(({ daemon }) => daemon);
     const chosen = this.chooseArbiters(service, known);
@@ -311,7 +311,7 @@
   }
 }
 
-/** The live backend servers of a service that may own keys, without the one on this host. */
+/** The backend servers of a service, on the hosts of other alive daemons, that may own keys. */
 export function findCandidates(view: MemberView, service: string): Candidate[] {
   return view.alive(monotonicMs())
     .filter((report) => report.service === service && report.phase === "ready")
--- a/packages/router/src/backend_manager.ts
+++ b/packages/router/src/backend_manager.ts
@@ -26,7 +26,7 @@
 const INCARNATION_TIMEOUT_MS = 2_500;
 /** Multiple of the typical heartbeat interval after which a heartbeat is overdue; some arrive a little late. */
 const OVERDUE_FACTOR = 1.5;
-/** Minimum remaining hold that lasts a backend server until the response to its next heartbeat, in milliseconds. */
+/** Minimum remaining hold with which a backend server keeps its keys until its next heartbeat response, in ms. */
 const MIN_HOLD_MS = 1_200;
 /** A backend server that still refuses connections after this time, in milliseconds, has ended. */
 const REFUSAL_PROBE_DELAY_MS = 150;
@@ -39,7 +39,7 @@
  */
 const DRAIN_FORWARD_SHARE = 0.75;
 
-/** Evacuation state of the own availability zone, as operators have set it. */
+/** Evacuation state of this daemon's availability zone, as operators have set it. */
 export interface LocalEvacuation {
   /** Whether the zone is evacuated, so that the backend server on this host is to get no further requests or keys. */
   readonly isEvacuated: boolean;
@@ -71,25 +71,28 @@
   readonly mayGrant: (service: string) => boolean;
   /** Called when the phase or the incarnation has changed. */
   readonly onChange: () => void;
-  /** Called when the backend server has released ranges that were requested from it. */
+  /** Called when the backend server has released ranges that are no longer granted to it. */
   readonly onReleased: (
-    freed: readonly { from: number; to: number; handover: string }[],
+    released: readonly { from: number; to: number; handover: string }[],
   ) => void;
   /**
    * Called after the backend server has announced its drain, or while it is evacuated, before its heartbeat is
    * responded to; returns whether its keys can be reassigned now.
    */
   readonly beforeDrain: () => Promise<boolean>;
-  /** Called when the process of an incarnation has ended. */
+  /** Called when the process of an incarnation has ended, or is assumed to have ended. */
   readonly onProcessEnded: (end: BackendProcessEnd) => void;
   /** Called before a grant is decided; it may delay the heartbeat response for a handover. */
   readonly beforeGrant: () => Promise<void>;
 }
 
-/** The end of a backend server's process. */
+/** The end of a backend server's process, proved or assumed. */
 export interface BackendProcessEnd {
   readonly instance: string | undefined;
-  /** "refused": nothing listens at its address; "replaced": another incarnation has taken its place. */
+  /**
+   * Why the process is taken to have ended. "refused": nothing listens at its address; "replaced": another incarnation
+   * has taken its place, which is no proof of the end if the succession was only assumed (see `Succession`).
+   */
   readonly proof: "refused" | "replaced";
 }
 
@@ -150,14 +153,14 @@
       : drainForwardEndMs;
   }
 
-  /** Called when the evacuation of the own availability zone begins or ends. */
+  /** Called when the evacuation of this daemon's availability zone begins or ends. */
   onEvacuationChanged(): void {
     if (this.currentPhase === "ready" || this.currentPhase === "evacuated") {
       this.setPhase(this.undrainedPhase, "evacuation");
     }
   }
 
-  /** The phase of a backend server that does not drain. */
+  /** The phase of a backend server that is not draining. */
   private get undrainedPhase(): MemberPhase {
     return this.context.evacuation.isEvacuated ? "evacuated" : "ready";
   }
@@ -201,8 +204,8 @@
   /**
    * Whether the drain of the backend server may have to remain unacknowledged for now. Once it is acknowledged, the
    * server gets no requests, and while the store can't be written its keys can't be reassigned; as long as it waits for
-   * the acknowledgement, it goes on serving them. Only an acknowledgement renews its hold, so it gets one before the
-   * hold expires, and goes on serving within its drain time.
+   * the acknowledgement, it continues to serve them. Only an acknowledgement renews its hold, so it gets one before the
+   * hold expires, and continues to serve within its drain time.
    */
   private mayDelayDrain(heartbeat: BackendHeartbeat): boolean {
     return heartbeat.isDraining && this.currentPhase === "ready" &&
@@ -325,9 +328,9 @@
       });
     }
     grants.raiseTokens(heartbeat.holds);
-    const freed = grants.recordReleased(heartbeat.freed);
-    if (freed.length > 0) {
-      this.context.onReleased(freed);
+    const released = grants.recordReleased(heartbeat.freed);
+    if (released.length > 0) {
+      this.context.onReleased(released);
     }
     const phase = heartbeat.isDraining ? "draining" : this.undrainedPhase;
     this.setPhase(phase, "heartbeat");
--- a/packages/router/src/backend_manager_test.ts
+++ b/packages/router/src/backend_manager_test.ts
@@ -234,9 +234,9 @@
       expect(rangesIn(following)).to.have.length(1);
     });
 
-    // Guards against two servers that hold the same keys: a delayed heartbeat was treated as a new process, the grant
-    // of the live one was discarded, and its keys were assigned to another owner before the grant expired. The response
-    // to the probe, which could not distinguish the two processes, had been taken as proof that one had ended.
+    // Guards against two servers that hold the same keys: a delayed heartbeat is treated as a new process, the grant of
+    // the running one is discarded, and its keys are assigned to another owner before the grant expires. The response
+    // to the probe, which does not distinguish the two processes, must not count as proof that one has ended.
     it("keeps the previous process's grant until it expires if the probe is inconclusive", async () => {
       const { grants, lease } = createOwner();
       const manager = createManager(grants, lease, {
@@ -270,8 +270,8 @@
   });
 
   describe("when a heartbeat names a service that is not configured", () => {
-    // Guards against releasing the keys of a live backend server, or sending it no requests, after another client sent
-    // a well-formed heartbeat of a service that does not exist: the service of the last heartbeat was always adopted.
+    // Guards against releasing the keys of a running backend server, or sending it no requests, after another client
+    // has sent a well-formed heartbeat of a service that does not exist: the service of the last heartbeat is adopted.
     it("changes nothing and does not acknowledge the heartbeat", async () => {
       const { grants, lease } = createOwner();
       const manager = createManager(grants, lease);
--- a/packages/router/src/clock.ts
+++ b/packages/router/src/clock.ts
@@ -1,5 +1,6 @@
 /**
- * The clocks of this process. Decision code never reads them; it gets the current time as a parameter.
+ * The clocks of this process. The packages of decision code, such as admission and keyspace, never read them; they get
+ * the current time as a parameter.
  *
  * @module
  */
@@ -18,7 +19,7 @@
  */
 export const bootMs: ReadClock = openBootClock() ?? createFallbackClock();
 
-/** The monotonic clock in milliseconds, for durations within one request. */
+/** The monotonic clock in milliseconds, for durations that need not include suspensions of the machine. */
 export function monotonicMs(): number {
   return performance.now();
 }
@@ -29,8 +30,8 @@
     const read = koffi
       .load("libc.so.6")
       .func("clock_gettime", "int", ["int", "void *"]);
-    // Seconds and nanoseconds, 64 bits each. The array is reused: an object per reading takes 1.3 us instead of 0.3 us
-    // (200,000 readings).
+    // Seconds and nanoseconds, 64 bits each. The array is reused, since with an object per reading, a reading takes
+    // 1.3 us instead of 0.3 us.
     const now = new BigInt64Array(2);
     return () => {
       read(CLOCK_BOOTTIME, now);
--- a/packages/router/src/datagram_codec.ts
+++ b/packages/router/src/datagram_codec.ts
@@ -67,7 +67,7 @@
   names: z.array(z.int().min(0)),
 });
 
-/** An owner asks the shared reader for the revision of its service's record in the store. */
+/** An owner requests from the shared reader the revision of its service's record in the store. */
 const SharedReadRequest = z.object({
   kind: z.literal("ask_read"),
   sender: z.string(),
@@ -88,11 +88,11 @@
 /** Identifies a request by its content. */
 const Fingerprint = z.string().min(1).max(64);
 
-/** Reports requests under which backend servers crashed. */
+/** Reports requests during which backend servers crashed. */
 const CrashReports = z.object({
   kind: z.literal("crash_reports"),
   sender: z.string(),
-  /** Each with the ids of the crashes, the number of quarantines, and the rest of the last one, in milliseconds. */
+  /** Each with the ids of the crashes, the number of quarantines, and the remaining time of the last one, in ms. */
   suspected: z.array(
     z.tuple([
       Fingerprint,
@@ -103,7 +103,7 @@
   ),
 });
 
-/** Reports that these requests were answered and so do not crash backend servers. */
+/** Reports that these requests got responses and so do not crash backend servers. */
 const RequestsCleared = z.object({
   kind: z.literal("cleared"),
   sender: z.string(),
--- a/packages/router/src/evacuation_manager.ts
+++ b/packages/router/src/evacuation_manager.ts
@@ -21,15 +21,15 @@
  */
 const REPEAT_PERIOD_MS = 60_000;
 /**
- * A daemon that can't learn the evacuated zones within this time, in milliseconds, continues as if none were evacuated.
+ * A daemon that can't learn the evacuated zones within this time, in milliseconds, assumes that none are evacuated.
  * Otherwise a fleet that starts while the store is unreachable would serve no requests.
  */
 const MAX_UNKNOWN_MS = 3_000;
 /** Maximum delay of a heartbeat's acknowledgement, in milliseconds; its sender waits for a second. */
-const MAX_HOLD_BACK_MS = 800;
+const MAX_ACKNOWLEDGEMENT_DELAY_MS = 800;
 /**
  * Share of the evacuation's time limit in which keys are handed over and waiting requests still run. The rest is for
- * propagating the evacuation to other daemons, and for the way to the backend server.
+ * propagating the evacuation to other daemons, and for the transmission to the backend server.
  */
 const HANDOVER_SHARE = 0.3;
 
@@ -82,20 +82,20 @@
     return this.evacuations.has(this.context.zone);
   }
 
-  /** Until when keys are handed over and waiting requests still run, in milliseconds on the steady clock. */
+  /** Until when keys are handed over and waiting requests still run, in milliseconds on the monotonic clock. */
   get handOverUntilMs(): number {
     return this.handOverDeadlineMs;
   }
 
-  /** Whether the evacuated zones are known, or the time to learn them has run out. */
+  /** Whether the evacuated zones are known, or assumed to be none after `MAX_UNKNOWN_MS`. */
   get isKnownOrAssumed(): boolean {
     return this.evacuations.isKnown ||
       this.context.nowMs() - this.startedAtMs > MAX_UNKNOWN_MS;
   }
 
-  /** Waits a limited time until `isSettled`; returns whether it is. */
+  /** Waits up to `MAX_ACKNOWLEDGEMENT_DELAY_MS` until `isKnownOrAssumed`; returns whether it is. */
   async awaitKnown(): Promise<boolean> {
-    const deadlineMs = this.context.nowMs() + MAX_HOLD_BACK_MS;
+    const deadlineMs = this.context.nowMs() + MAX_ACKNOWLEDGEMENT_DELAY_MS;
     while (!this.isKnownOrAssumed && this.context.nowMs() < deadlineMs) {
       await new Promise((resolve) =>
         setTimeout(resolve, UPDATE_REQUEST_INTERVAL_MS / 4)
--- a/packages/router/src/evacuation_manager_test.ts
+++ b/packages/router/src/evacuation_manager_test.ts
@@ -105,7 +105,7 @@
 
   describe("before it knows the evacuated zones", () => {
     // Guards against a starting daemon sending requests to an evacuated server before it knows the evacuated zones.
-    it("is not settled and requests an update", () => {
+    it("assumes nothing yet and requests an update", () => {
       const { manager, counts, advance } = createManager();
       expect(manager.isKnownOrAssumed).to.equal(false);
       advance(SECOND_MS);
@@ -117,7 +117,7 @@
     });
 
     // Guards against a fleet that starts while the store is unreachable serving no requests.
-    it("is settled after a time limit nevertheless", () => {
+    it("assumes that none are evacuated after a timeout", () => {
       const { manager, advance } = createManager();
       advance(4 * SECOND_MS);
       expect(manager.isKnownOrAssumed).to.equal(true);
--- a/packages/router/src/gossip_node.ts
+++ b/packages/router/src/gossip_node.ts
@@ -28,8 +28,8 @@
 /** Minimum interval between requests for missing reports, in milliseconds. */
 const REPORT_REQUEST_INTERVAL_MS = 200;
 /**
- * Number of daemons that receive a repeated datagram, which nearly all know already. Each daemon repeats it to as many,
- * so each also receives it about as often.
+ * Number of daemons to which a datagram is repeated, although nearly all have received it already. Each daemon repeats
+ * it to as many, so each also receives it about as often.
  */
 const SUBSET_SIZE = 2;
 const MAX_PORT = 65_535;
@@ -151,7 +151,7 @@
       );
       return;
     }
-    decodeGossip(bytes, (name) => view.isUpdate(name)).match(
+    decodeGossip(bytes, (version) => view.isUpdate(version)).match(
       ({ sender, reports, digests, skippedReports }) => {
         if (skippedReports > 0) {
           logger.log("gossip_malformed", {
@@ -171,8 +171,8 @@
   }
 
   /**
-   * Requests missing reports. Without such requests, a daemon that started in a fleet of 195 still lacked reports of
-   * some daemons after 10 s.
+   * Requests missing reports. Without such requests, a daemon that starts in a fleet of 195 still lacks reports of some
+   * daemons after 10 s.
    */
   private requestReports(peer: string, names: number[]): void {
     const nowMs = monotonicMs();
--- a/packages/router/src/handover_coordinator.ts
+++ b/packages/router/src/handover_coordinator.ts
@@ -2,9 +2,9 @@
  * Synchronizes the heartbeats of the two backend servers of a handover.
  *
  * Backend servers receive their grants only in the responses to their own heartbeats, about one per second. Without
- * synchronization, keys would have no holder for half a second on average: released at a heartbeat of the old owner and
- * granted at a later one of the new owner. So the new owner's daemon delays a heartbeat response while it expects keys,
- * and announces this; the old owner's daemon delays its own response until then and releases the keys only in it.
+ * synchronization, keys would have no holder for half a second on average: released at a heartbeat of their source and
+ * granted at a later one of their recipient. So the recipient's daemon delays a heartbeat response while it expects
+ * keys, and announces this; the source's daemon delays its own response until then and releases the keys only in it.
  *
  * @module
  */
@@ -25,7 +25,7 @@
   readonly ranges: readonly ExpectedRange[];
 }
 
-/** Tracks the handovers of one daemon, and delays its heartbeat responses for them, as the old and as the new owner. */
+/** Tracks the handovers of one daemon, and delays its heartbeat responses for them, as their source or recipient. */
 export class HandoverCoordinator {
   private readonly expectations = new Map<string, Expectation>();
   private readonly awaitingRecipients = new Set<string>();
@@ -41,28 +41,28 @@
 
   /** Records the ranges that another daemon has announced to move to this one. */
   expectRanges(
-    sender: string,
+    source: string,
     ranges: readonly ExpectedRange[],
     nowMs: number,
   ): void {
-    this.expectations.set(sender, {
+    this.expectations.set(source, {
       expiresAtMs: nowMs + EXPECTATION_TTL_MS,
       ranges,
     });
   }
 
   /** Records that another daemon delays a heartbeat response until it has received keys. */
-  markAwaiting(sender: string): void {
-    this.awaitingRecipients.add(sender);
+  markAwaiting(recipient: string): void {
+    this.awaitingRecipients.add(recipient);
     this.runPendingChecks();
   }
 
-  /** Called after the own keys have increased; returns the expected ranges that are now owned. */
+  /** Called after this daemon has been assigned keys; returns the expected ranges that it now owns. */
   takeArrived(isOwn: (key: number) => boolean): ExpectedRange[] {
     const arrived = [...this.expectations].filter(([, { ranges }]) =>
       ranges.some(({ from }) => isOwn(from))
     );
-    arrived.forEach(([sender]) => this.expectations.delete(sender));
+    arrived.forEach(([source]) => this.expectations.delete(source));
     this.arrivalCount += 1;
     this.runPendingChecks();
     return arrived.flatMap(([, { ranges }]) => ranges)
@@ -73,7 +73,7 @@
   expectedSources(nowMs: number): string[] {
     return [...this.expectations]
       .filter(([, { expiresAtMs }]) => nowMs < expiresAtMs)
-      .map(([sender]) => sender);
+      .map(([source]) => source);
   }
 
   /** Waits until some of the expected keys are owned, none is expected any more, or the maximum delay has passed. */
--- a/packages/router/src/heartbeat_server.ts
+++ b/packages/router/src/heartbeat_server.ts
@@ -18,7 +18,7 @@
 } from "./ports/backend_protocol.ts";
 
 const MAX_BODY_BYTES = 4_194_304;
-/** Keep-alive time-out in milliseconds; longer than the interval between two heartbeats. */
+/** Keep-alive timeout in milliseconds; longer than the interval between two heartbeats. */
 const KEEP_ALIVE_TIMEOUT_MS = 30_000;
 
 /**
--- a/packages/router/src/key_rebalancer.ts
+++ b/packages/router/src/key_rebalancer.ts
@@ -57,7 +57,7 @@
     return this.lastBegunMoves;
   }
 
-  /** Plans moves of the keys with the highest load while the own backend server is more loaded than others. */
+  /** Plans moves of the keys with the highest load while this daemon's backend server is more loaded than others. */
   tick(): void {
     const { grants, backend, view, backendManager, logger, leaseManager } =
       this.context;
@@ -118,8 +118,8 @@
   }
 
   /**
-   * Load of the own keys per slot. Keys that have just been moved away don't count any more, so that an owner does not
-   * rebalance a second time because of them.
+   * Load of this daemon's keys per slot. Keys that have just been moved away don't count any more, so that an owner
+   * does not rebalance a second time because of them.
    */
   get utilization(): number {
     const { backend, backendManager } = this.context;
@@ -136,7 +136,7 @@
       Math.max(1, backendManager().slots);
   }
 
-  /** Load of the own keys, in slots. */
+  /** Load of this daemon's keys, in slots. */
   private get load(): number {
     const { grants, backend } = this.context;
     return backend.profile.loadOf(grants.ownRanges) / 1_000;
@@ -148,8 +148,8 @@
   }
 
   /**
-   * Begins the planned moves just before a heartbeat is responded to. Until that response the backend server goes on
-   * serving the keys, and by then the new owners are ready to receive them.
+   * Begins the planned moves just before a heartbeat is responded to. Until that response the backend server continues
+   * to serve the keys, and by then their recipients are ready to receive them.
    */
   async beginMoves(): Promise<void> {
     const { plannedMoves } = this;
--- a/packages/router/src/member_directory.ts
+++ b/packages/router/src/member_directory.ts
@@ -27,7 +27,7 @@
   readonly onRecord: (record: StoredRecord) => void;
 }
 
-/** Registers the own daemon and reads the addresses of the others. */
+/** Registers this daemon and reads the addresses of the others. */
 export class MemberDirectory {
   private timer: NodeJS.Timeout | undefined;
   private isStopped = false;
@@ -39,7 +39,7 @@
     return new MemberDirectory(context);
   }
 
-  /** Starts to register the own daemon, with retries until it succeeds. */
+  /** Starts to register this daemon, with retries until it succeeds. */
   start(): void {
     void this.register();
   }
@@ -51,7 +51,7 @@
   }
 
   /**
-   * Rewrites the addresses of live daemons that are missing after the store was restored from an older snapshot.
+   * Rewrites the addresses of alive daemons that are missing after the store was restored from an older snapshot.
    * Without them, a starting daemon would not find those daemons, and they would not find each other after a
    * restart of all.
    */
@@ -118,7 +118,7 @@
   }
 
   /**
-   * Writes the own address. This is done at each start, even if the record exists, because the revision of the
+   * Writes this daemon's address. This is done at each start, even if the record exists, because the revision of the
    * write is higher than any that an earlier process of this daemon has seen.
    *
    * Most starts in a fleet are first starts, so the record is assumed not to exist, which saves a read for each of
--- a/packages/router/src/member_directory_test.ts
+++ b/packages/router/src/member_directory_test.ts
@@ -83,8 +83,8 @@
 }
 
 describe("member directory", () => {
-  // Guards against an additional read at each start, which helps only a restarting daemon: when each daemon read
-  // its own record, wrote it and listed all, starting daemons made a third of all calls to the store.
+  // Guards against an additional read at each start, which helps only a restarting daemon: if each daemon reads its own
+  // record, writes it and lists all, a third of all calls to the store are those of starting daemons.
   it("writes, then lists, at the first start", async () => {
     const { calls, memberAddresses, registered } = await start([OTHER_KEY]);
     expect(calls).to.deep.equal(["write", "list"]);
--- a/packages/router/src/ownership_lease_manager.ts
+++ b/packages/router/src/ownership_lease_manager.ts
@@ -33,13 +33,13 @@
  */
 const MAX_MOVE_CONFIRMATION_AGE_MS = 2 * CONFIRM_INTERVAL_MS;
 /**
- * Arbiters are asked for promises once the lease has not been confirmed for this long, in milliseconds: by then a read,
- * which is due every 1.5 s and may be delayed by 0.6 s for batching, has failed.
+ * Promises are requested from the arbiters once the lease has not been confirmed for this time, in milliseconds: by
+ * then a read, which is due every 1.5 s and may be delayed by 0.6 s for batching, has failed.
  */
 const PROMISE_REQUEST_DELAY_MS = 2_400;
 /** Interval between requests for promises, in milliseconds; a promise is valid for 2.5 s. */
 const PROMISE_REQUEST_INTERVAL_MS = 500;
-/** Time-out of the read before keys are released, in milliseconds; a read typically takes 4 ms. */
+/** Timeout of the read before keys are released, in milliseconds; a read typically takes 4 ms. */
 const STORE_READ_TIMEOUT_MS = 400;
 
 /**
@@ -77,9 +77,9 @@
     reader: string,
     request: SharedReadRequest,
   ) => void;
-  /** Whether keys are to be released to others. */
+  /** Whether keys of the backend server on this host are to be assigned to others. */
   readonly mustReleaseKeys: () => boolean;
-  /** Called after each successful read of the own service's record. */
+  /** Called after each successful read of the record of this daemon's service. */
   readonly onRecordRead: (service: string) => void;
   /** Called when the record shows that this daemon is sealed. */
   readonly onSealed: (service: string) => void;
@@ -139,14 +139,14 @@
     this.confirmByRecord(service, record, askedAtMs);
   }
 
-  /** Whether a move of keys that begins now can probably be written to the store. */
+  /** Whether a move of keys that begins now can probably be written to the store, and the record allows it. */
   canMoveKeys(): boolean {
     return this.context.lease.confirmationAgeMs(bootMs()) <
         MAX_MOVE_CONFIRMATION_AGE_MS &&
       !this.isRestored;
   }
 
-  /** Whether keys may not be assigned for now, since the store has lost the record of who else may hold them. */
+  /** Whether the record was restored, so that no keys may be assigned yet: others may hold them by a lost record. */
   private get isRestored(): boolean {
     const service = this.context.ownService();
     return service !== undefined &&
@@ -154,8 +154,9 @@
   }
 
   /**
-   * Checks by a read that the store is reachable, just before keys are released. Without it, keys that were released in
-   * the seconds before an outage was detected had no owner until the outage ended.
+   * Checks by a read, just before keys are released, that the store is reachable and that the record allows keys to be
+   * assigned. Without it, keys that are released in the seconds before an outage is detected would have no owner until
+   * the outage has ended.
    */
   async confirmKeysMovable(service: string): Promise<boolean> {
     const sentAtMs = bootMs();
@@ -264,8 +265,8 @@
   private requestPromises(service: string): void {
     const { lease, logger, onPromiseNeeded } = this.context;
     const nowMs = bootMs();
-    const confirmedForMs = lease.confirmationAgeMs(nowMs);
-    if (confirmedForMs <= PROMISE_REQUEST_DELAY_MS) {
+    const confirmationAgeMs = lease.confirmationAgeMs(nowMs);
+    if (confirmationAgeMs <= PROMISE_REQUEST_DELAY_MS) {
       this.dependsOnPromises = false;
       return;
     }
@@ -277,7 +278,7 @@
       this.dependsOnPromises = true;
       logger.log("tenure_on_promises", {
         service,
-        confirmed_for_ms: Math.round(confirmedForMs),
+        confirmed_for_ms: Math.round(confirmationAgeMs),
         arbiters: lease.arbiters.map(({ daemon }) => daemon),
       });
     }
--- a/packages/router/src/ownership_lease_manager_test.ts
+++ b/packages/router/src/ownership_lease_manager_test.ts
@@ -70,8 +70,8 @@
   });
 
   describe("when the record that it knows is missing from the store", () => {
-    // Guards against two backend servers that hold the same keys: after the record was deleted, a daemon that started
-    // assigned the keys anew, while the previous owners went on, since an empty record shows no seal and so confirmed
+    // Guards against two backend servers that hold the same keys: after the record was deleted, a starting daemon
+    // assigns the keys anew, while the previous owners keep theirs, if an empty record, which shows no seal, confirms
     // every lease.
     it("confirms nothing", async () => {
       expect(await isConfirmed(undefined)).to.equal(false);
--- a/packages/router/src/ownership_manager.ts
+++ b/packages/router/src/ownership_manager.ts
@@ -1,6 +1,6 @@
 /**
- * One daemon's part in key ownership: updates the grants from the ownership records, and reassigns the keys that the
- * backend server on this host has released.
+ * Manages the keys of the backend server on this host: updates its grants from the ownership records, and reassigns the
+ * keys that it has released.
  *
  * @module
  */
@@ -34,7 +34,7 @@
   OwnershipLeaseManager,
 } from "./ownership_lease_manager.ts";
 
-/** Without a heartbeat of the own backend server for this long, none is expected soon, in milliseconds. */
+/** After this time without a heartbeat, in milliseconds, keys whose grants have expired are released. */
 const HEARTBEAT_TIMEOUT_MS = 3_000;
 
 /** Dependencies of the ownership manager. */
@@ -160,8 +160,8 @@
   }
 
   /** Handles ranges that the backend server has released, with the proofs of their handover. */
-  handleReleased(freed: readonly ReleasedRange[]): void {
-    this.releasedRanges.push(...freed);
+  handleReleased(released: readonly ReleasedRange[]): void {
+    this.releasedRanges.push(...released);
     this.writeReleases();
   }
 
@@ -190,7 +190,7 @@
     return this.assignmentManager.findReader() === this.ownAddress;
   }
 
-  /** Load of the own keys per slot. */
+  /** Load of this daemon's keys per slot. */
   get utilization(): number {
     return this.rebalancer.utilization;
   }
@@ -233,7 +233,7 @@
     }
   }
 
-  /** Applies the known record again, since the own service may have become known only after its record. */
+  /** Applies the known record again, since this daemon's service may have become known only after its record. */
   private reapplyRecord(service: string): void {
     const record = this.context.directory.record(service);
     if (record !== undefined) {
@@ -242,8 +242,8 @@
   }
 
   /**
-   * Handles a seal: others consider this daemon lost. It has the seal removed, unless it sees fewer than half of the
-   * known daemons alive and is probably unreachable itself; then it releases its keys.
+   * Handles a seal: others consider this daemon lost. It removes the seal, unless it considers fewer than half of the
+   * known daemons alive and so is probably unreachable itself; then it releases its keys.
    */
   private handleSeal(service: string): void {
     const { view, grants } = this.context;
@@ -263,7 +263,7 @@
     );
   }
 
-  /** Begins the release of keys of a backend server that drains, has ended or can't be granted keys any more. */
+  /** Begins the release of keys of a backend server that is draining, has ended or can't be granted keys any more. */
   private beginDueReleases(): void {
     const { grants, backendManager } = this.context;
     const service = this.ownService;
@@ -353,18 +353,18 @@
   ): OwnershipRecord {
     const candidates = this.candidatesFor(service);
     const planned = released.flatMap((range) =>
-      this.rebalancer.begunMoves.flatMap((destination) => {
-        const shared = intersect(destination, range);
+      this.rebalancer.begunMoves.flatMap((move) => {
+        const shared = intersect(move, range);
         const isAvailable = candidates.some(({ daemon }) =>
-          daemon === destination.daemon
+          daemon === move.daemon
         );
         return shared === undefined || !isAvailable
           ? []
-          : [{ ...shared, daemon: destination.daemon, handover: "" }];
+          : [{ ...shared, daemon: move.daemon, handover: "" }];
       })
     );
-    const freed = record.release(released);
-    const withPlanned = freed.assign(planned);
+    const withoutOwners = record.release(released);
+    const withPlanned = withoutOwners.assign(planned);
     const unassigned = released.flatMap((range) =>
       withPlanned.findUnowned().flatMap((gap) => intersect(gap, range) ?? [])
     );
@@ -372,18 +372,18 @@
     const assignments = [...planned, ...rest].flatMap((assignment) =>
       this.withHandoverProofs(assignment)
     );
-    return freed.assign(assignments);
+    return withoutOwners.assign(assignments);
   }
 
   /** Adds to an assignment its parts that were handed over, each with the proof of its handover. */
   private withHandoverProofs<A extends KeyRange & { handover: string }>(
     assignment: A,
   ): A[] {
-    const proofs = this.releasedRanges.flatMap((freed) => {
-      const shared = intersect(freed, assignment);
+    const proofs = this.releasedRanges.flatMap((released) => {
+      const shared = intersect(released, assignment);
       return shared === undefined
         ? []
-        : [{ ...assignment, ...shared, handover: freed.handover }];
+        : [{ ...assignment, ...shared, handover: released.handover }];
     });
     return [assignment, ...proofs];
   }
--- a/packages/router/src/ports/backend_protocol.ts
+++ b/packages/router/src/ports/backend_protocol.ts
@@ -45,7 +45,7 @@
   readonly freed: readonly ReleasedRange[];
 }
 
-/** Notification that the backend server drains. */
+/** Notification that the backend server is draining. */
 export interface BackendDeparture extends Incarnation {
   readonly kind: "departure";
 }
--- a/packages/router/src/ports/caller_protocol.ts
+++ b/packages/router/src/ports/caller_protocol.ts
@@ -5,7 +5,7 @@
  */
 import type { IncomingHttpHeaders } from "node:http";
 
-/** Request metadata that a caller sends beside method, target and body. */
+/** Request metadata that a caller sends in addition to method, target and body. */
 export interface CallerRequest {
   /** Identifies one attempt of a caller; responses are matched to requests by it. */
   readonly id: string;
--- a/packages/router/src/record_inspector.ts
+++ b/packages/router/src/record_inspector.ts
@@ -118,7 +118,7 @@
     return revision === undefined ? undefined : { revision, record };
   }
 
-  /** Whether a restored record may be marked as settled now. */
+  /** Whether a restored record may be settled now, that is, take full effect (`OwnershipRecord.settle`). */
   canSettle(service: string): boolean {
     return this.stateOf(service).restore.isSettled(bootMs());
   }
--- a/packages/router/src/record_writer.ts
+++ b/packages/router/src/record_writer.ts
@@ -17,7 +17,7 @@
 import type { EarlierEraRecord, RecordInspector } from "./record_inspector.ts";
 
 /**
- * Pause after a write that failed for another reason than a conflicting write, in milliseconds. Without it, every
+ * Pause after a write that failed for another reason than a conflict, in milliseconds. Without it, every
  * daemon would request a relayed write from the others in each tick while the store is down.
  */
 const WRITE_PAUSE_MS = 250;
@@ -58,8 +58,8 @@
    * Changes a record by compare-and-swap. A change requested while another write is in flight is dropped; the next tick
    * plans it again.
    *
-   * If the outcome is unknown, nothing is assumed: the affected ranges stay released here, and the next tick reads the
-   * record and decides again.
+   * If the outcome is unknown, nothing is assumed: the affected ranges stay released here, and later ticks decide again
+   * from the newest known record.
    */
   async write(
     service: string,
@@ -203,17 +203,17 @@
       expectedRevision,
     });
     // A record that was written while the store was rolled back belongs to the earlier era.
-    const settled = written.andThen((revision) =>
+    const outcome = written.andThen((revision) =>
       record.era === store.era ? ok(revision) : err(rollbackError())
     );
-    if (settled.isErr()) {
+    if (outcome.isErr()) {
       logger.log("ownership_write_failed", {
         ...logFields,
-        cause: settled.error,
+        cause: outcome.error,
       });
-      return settled.error;
+      return outcome.error;
     }
-    const { value: revision } = settled;
+    const { value: revision } = outcome;
     logger.log("ownership_written", { ...logFields, revision });
     const currentRecord = record.withRevision(revision);
     inspector.onRecordInForce(service, currentRecord);
--- a/packages/router/src/record_writer_test.ts
+++ b/packages/router/src/record_writer_test.ts
@@ -72,9 +72,9 @@
 }
 
 describe("record writer", () => {
-  // Guards against a burst of reads when a hundred owners release keys within a second: after each of 250 conflicts the
-  // record was read at once, by all daemons whose writes had failed against the same write, although its announcement
-  // arrives some milliseconds later.
+  // Guards against a burst of reads when a hundred owners release keys within a second: after each of 250 conflicts,
+  // all daemons whose writes conflict with the same write read the record at once, although the announcement of that
+  // write arrives some milliseconds later.
   it("retries on top of the announced record of the conflicting write", async () => {
     const { store, record } = await writeAgainstConflict((directory) =>
       directory.updateRecord(SERVICE, CONFLICTING)
--- a/packages/router/src/relayed_store.ts
+++ b/packages/router/src/relayed_store.ts
@@ -1,5 +1,6 @@
 /**
- * A store client that relays calls through another daemon while the store is unreachable from this one.
+ * A store client that relays reads and writes of single records through another daemon while the store is unreachable
+ * from this one.
  *
  * @module
  */
@@ -32,7 +33,8 @@
 }
 
 /**
- * Calls the store directly and, if that fails, through another daemon.
+ * Reads and writes single records through another daemon while the store is unreachable from this one; all other calls
+ * are direct. A direct write that has failed is relayed only if it certainly had no effect.
  *
  * Without it, if the store serves the rest of the fleet but refuses this daemon, the ownership lease of its backend
  * server expires, and the keys have no owner although the server has not failed.
@@ -147,7 +149,7 @@
 
   /**
    * After a recent failure, the daemon to which calls are relayed without a direct attempt. Without it, each call would
-   * wait for its own time-out before it is relayed, and a move of keys, which takes two calls, would take seconds.
+   * wait for its own timeout before it is relayed, and a move of keys, which takes two calls, would take seconds.
    */
   private findPreferredRelay(): string | undefined {
     return this.hasRecentlyFailed ? this.context.findRelay() : undefined;
@@ -175,7 +177,7 @@
       });
   }
 
-  /** Detects a rollback by an increase of the era; the first era that is seen is no increase. */
+  /** Detects a rollback by an increase of the era; the first observed era is not an increase. */
   private detectRollback(): void {
     const { era } = this.context.direct;
     const { lastDirectEra } = this;
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -213,7 +213,7 @@
       heartbeatIntervalMs: () => this.settings.heartbeatMs,
       mayGrant: (service) => this.ownership.mayGrant(service),
       onChange: () => this.gossip.announce(),
-      onReleased: (freed) => this.ownership.handleReleased(freed),
+      onReleased: (released) => this.ownership.handleReleased(released),
       beforeDrain: () => this.ownership.releaseAll(),
       onProcessEnded: (end) => this.quarantine.recordBackendEnd(end),
       beforeGrant: () => this.awaitHandovers(),
@@ -391,8 +391,8 @@
 
   /**
    * Shuts down gracefully, within the grace period: withdraws readiness, accepts requests until readiness probes have
-   * seen that, announces to other daemons that it is stopping, waits for requests in flight and for keys that are being
-   * released, and closes.
+   * detected that, announces to other daemons that it is stopping, waits for requests in flight and for keys that are
+   * being released, and closes.
    */
   async stop(): Promise<void> {
     if (this.isStopRequested) {
@@ -650,14 +650,14 @@
       : Math.max(1, Math.floor(perSecond * coldRatio + coldExtra));
   }
 
-  /** Only the shared reader restores them, as it is the first to see that the store was rolled back. */
+  /** Only the shared reader restores them, as it is the first to detect that the store was rolled back. */
   private restoreMembers(): void {
     if (this.ownership.isSharedReader) {
       void this.members.restoreMissing(monotonicMs());
     }
   }
 
-  /** Picks a random alive daemon that reaches the store. */
+  /** Picks a random alive daemon that can reach the store. */
   private findRelay(): string | undefined {
     const relays = this.view.alive(monotonicMs())
       .filter(({ reachesStore }) => reachesStore);
@@ -667,7 +667,7 @@
 
   private createWatcher(): StoreWatcher {
     const { logger, random, document } = this.ports;
-    const waits = WatchPollSchedule.create(random);
+    const pollSchedule = WatchPollSchedule.create(random);
     return StoreWatcher.create({
       store: this.store,
       logger,
@@ -675,7 +675,7 @@
       prefix: document.prefix,
       choosePollTimeoutMs: (hasTimedOut) => {
         const daemons = this.view.alive(monotonicMs()).length + 1;
-        return waits.nextTimeoutMs({ daemons, hasTimedOut });
+        return pollSchedule.nextTimeoutMs({ daemons, hasTimedOut });
       },
       onListing: ({ records, revision }) => {
         const zones = records.flatMap(({ key }) =>
@@ -710,7 +710,7 @@
       .some(({ availabilityZone }) => availabilityZone === zone);
   }
 
-  /** Asks a random alive daemon which availability zones are evacuated. */
+  /** Requests the evacuated availability zones from a random alive daemon. */
   private requestEvacuationState(): void {
     const sender = this.view.ownReport.address;
     const alive = this.view.alive(monotonicMs());
--- a/packages/router/src/shared_reader.ts
+++ b/packages/router/src/shared_reader.ts
@@ -2,7 +2,7 @@
  * Reads the ownership record once for many owners.
  *
  * Each owner needs the current record every second or two. If each read it on its own, the number of store calls would
- * grow with the number of owners: 98 of them would read 65 times per second. So owners send their requests to one
+ * grow with the number of owners: 98 owners would read 65 times per second. So owners send their requests to one
  * daemon, the shared reader, which batches them, reads once, and responds to all: about 0.7 reads per second for any
  * number of owners.
  *
@@ -33,7 +33,7 @@
   readonly logger: Logger;
   /** Checks the result of each read; owners receive only the revision, not the outcome of this check. */
   readonly inspector: RecordInspector;
-  readonly onResponse: (owner: string, answer: SharedReadResponse) => void;
+  readonly onResponse: (owner: string, response: SharedReadResponse) => void;
 }
 
 /** Batches the read requests of owners. */
--- a/packages/router/src/shared_reader_test.ts
+++ b/packages/router/src/shared_reader_test.ts
@@ -47,7 +47,7 @@
 describe("shared reader", () => {
   describe("when many owners request a read", () => {
     // Guards against store calls that grow with the number of owners until the store refuses them: each of 98 owners
-    // read the same record on its own every 1.5 s.
+    // reads the same record on its own every 1.5 s.
     it("reads once, and responds to each with its own timestamp", async () => {
       const { store, reads } = createStore(0);
       const { reader, responses } = createReader(store);
