--- a/packages/keyspace/src/arbiter_state.ts
+++ b/packages/keyspace/src/arbiter_state.ts
@@ -20,7 +20,7 @@
  * An owner that can't read the store may be sealed and taken over, after which the record shows no seal on it any
  * more. A promise would then extend its lease for keys that belong to another owner, and two backend servers would
  * hold the same keys for some seconds. So an arbiter promises only to an owner that has read the record since the
- * arbiter last saw the owner sealed.
+ * arbiter last observed a seal on the owner.
  */
 export class ArbiterState {
   /** The newest revision at which each daemon was sealed. */
--- a/packages/keyspace/src/ownership_lease_test.ts
+++ b/packages/keyspace/src/ownership_lease_test.ts
@@ -47,7 +47,7 @@
   describe("after the backend server was replaced by one of another service", () => {
     // Guards against two backend servers that hold a key: a daemon confirms its lease in one service; its backend
     // server is replaced by one of another service, which is assigned keys there and sealed at once. The read for the
-    // former service counted as a lease in the new one.
+    // former service must not count as a lease in the new one.
     it("discards earlier reads and promises", () => {
       const lease = OwnershipLease.create();
       lease.confirm(1_000, { arbiters: [], revision: 1 });
--- a/packages/keyspace/src/ownership_record.ts
+++ b/packages/keyspace/src/ownership_record.ts
@@ -264,7 +264,7 @@
     );
   }
 
-  /** Appoints the arbiters; present arbiters among them keep their appointments. */
+  /** Appoints the arbiters; current arbiters among them keep their appointments. */
   appoint(daemons: readonly string[]): OwnershipRecord {
     const arbiters = daemons.map((daemon) =>
       this.arbiters.find((arbiter) => arbiter.daemon === daemon) ??
--- a/packages/keyspace/src/ownership_record_test.ts
+++ b/packages/keyspace/src/ownership_record_test.ts
@@ -56,7 +56,7 @@
   describe("when a daemon is sealed twice", () => {
     // Guards against two backend servers that hold the same keys after a takeover: a daemon is sealed, removes the
     // seal, and is sealed again before the first sealing daemon has read the record without it. With equal ids, that
-    // daemon counted its wait from the first seal.
+    // daemon would count its wait from the first seal.
     it("gives each seal a new id", () => {
       const owned = OwnershipRecord.create()
         .assign(assignUnowned(OwnershipRecord.create(), ALL_KEYS, candidates));
--- a/packages/keyspace/src/testing/ownership_simulation.ts
+++ b/packages/keyspace/src/testing/ownership_simulation.ts
@@ -211,7 +211,7 @@
   private nowMs = 100_000;
   private outageUntilMs = 0;
   private stored = OwnershipRecord.create();
-  /** Revision of the corrupt value that another writer has put in the record's place; 0 where it was deleted. */
+  /** Revision of the corrupt value that another writer has written in place of the record; 0 where it was deleted. */
   private corruptRevision: number | undefined;
   private revision = 1;
   private era = 0;
--- a/packages/keyspace/src/testing/rebalance_simulation.ts
+++ b/packages/keyspace/src/testing/rebalance_simulation.ts
@@ -193,7 +193,6 @@
     this.scheduleNextRequest();
   }
 
-  /** Schedules the next request. */
   private scheduleNextRequest(): void {
     const { random, requestsPerSecond, meanServiceMs } = this.scenario;
     const intervalMs = -Math.log(1 - random()) / requestsPerSecond * 1_000;
@@ -207,7 +206,7 @@
     });
   }
 
-  /** Runs a request on the slot that becomes free first, or refuses it where that is too late. */
+  /** Runs a request on the slot that becomes free first, or refuses it if it would wait longer than `MAX_WAIT_MS`. */
   private run({ freeAtMs }: SimulatedOwner, workMs: number): void {
     const first = freeAtMs.indexOf(Math.min(...freeAtMs));
     const startMs = Math.max(this.nowMs, freeAtMs[first]!);
--- a/packages/keyspace/src/write_backoff.ts
+++ b/packages/keyspace/src/write_backoff.ts
@@ -33,10 +33,10 @@
   }
 
   /**
-   * Records that a write failed because another one came first.
+   * Records that a write failed because another one took effect first.
    *
    * @returns the delay before the next attempt, in milliseconds. Its upper bound grows with each conflict; the jitter
-   *   keeps writers that lost to the same write from colliding again.
+   *   keeps writers that conflicted with the same write from conflicting again.
    */
   recordConflict(): number {
     const maxDelayMs = Math.min(
--- a/packages/membership/src/mod.ts
+++ b/packages/membership/src/mod.ts
@@ -1,6 +1,6 @@
 /**
  * Failure detection by gossip: determines which daemons are alive from status reports that daemons exchange and
- * forward. Pure: time and randomness are parameters.
+ * forward. No I/O; time and randomness are parameters.
  *
  * @module
  */
--- a/packages/router/src/backend_manager.ts
+++ b/packages/router/src/backend_manager.ts
@@ -30,7 +30,7 @@
 const MIN_HOLD_MS = 1_200;
 /** A backend server that still refuses connections after this time, in milliseconds, has ended. */
 const REFUSAL_PROBE_DELAY_MS = 150;
-/** Maximum accepted cold time, in milliseconds; longer ones are capped, as each heartbeat reports the time anew. */
+/** Maximum accepted cold time, in milliseconds; longer ones are capped, as each heartbeat reports the rest of it. */
 const MAX_COLD_MS = 60_000;
 
 /**
--- a/packages/router/src/backend_manager_test.ts
+++ b/packages/router/src/backend_manager_test.ts
@@ -119,8 +119,8 @@
   };
 
   describe("when a backend server that owns keys drains", () => {
-    // Guards against keys of a draining backend server without an owner for more than a second: they were released a
-    // tick after the response that acknowledged the drain, so only the response to the next heartbeat omitted them.
+    // Guards against keys of a draining backend server without an owner for more than a second: if they are released a
+    // tick after the response that acknowledges the drain, only the response to the next heartbeat omits them.
     it("no longer grants them in the response that acknowledges the drain", async () => {
       const { grants, lease } = createOwner();
       const manager = createManager(grants, lease);
@@ -132,7 +132,7 @@
     });
 
     // Guards against keys of two draining backend servers without an owner for as long as the store is down: their
-    // drain was acknowledged, so they got no more requests, although their keys could not be reassigned.
+    // drain is acknowledged, so they get no more requests, although their keys can't be reassigned.
     it("does not acknowledge the drain while the keys can't be reassigned, and remains ready", async () => {
       const { grants, lease } = createOwner();
       const manager = createManager(grants, lease, {
@@ -211,7 +211,7 @@
     }
 
     // Guards against keys of a backend server that crashed and restarted between two heartbeats being unserved until
-    // its sequence number exceeds the previous one: its heartbeats were treated as late ones of the previous process.
+    // its sequence number exceeds the previous one: its heartbeats are treated as late ones of the previous process.
     it("grants the keys to the new process with a higher fencing token", async () => {
       const { manager } = createRestarted({ born: 2_000 });
       const [before] = rangesIn(await manager.handleHeartbeat(previous))!;
@@ -220,7 +220,7 @@
     });
 
     // Guards against a restarted backend server that gets no keys: a delayed heartbeat of the previous process,
-    // received after the first one of the new process, was accepted, since ended incarnations were not remembered.
+    // received after the first one of the new process, is accepted unless ended incarnations are recorded.
     it("drops delayed heartbeats of the previous process", async () => {
       const { manager } = createRestarted({ born: 2_000 });
       await manager.handleHeartbeat(previous);
--- a/packages/router/src/decoders_test.ts
+++ b/packages/router/src/decoders_test.ts
@@ -114,8 +114,8 @@
   });
 
   describe("for ownership records, given corrupted bytes", () => {
-    // Guards against keys with two owners, or none, after somebody else wrote to the record: rows that were truncated,
-    // out of order or out of range were applied.
+    // Guards against keys with two owners, or none, after another writer has corrupted the record: rows that are
+    // truncated, out of order or out of range must not be applied.
     it("reject them or return ranges that don't overlap", () => {
       const record = OwnershipRecord.create().assign([
         { from: 0, to: 99, daemon: "one", handover: "" },
--- a/packages/router/src/gossip_node_test.ts
+++ b/packages/router/src/gossip_node_test.ts
@@ -87,7 +87,7 @@
 
   describe("given reports that don't identify their daemon", () => {
     // Guards against a daemon missing from the views of others without a log line: its reports have no numbers for
-    // incarnation and heartbeat sequence, so they compared as not newer and were skipped before they were validated.
+    // incarnation and heartbeat sequence, so they don't compare as newer and would be skipped without validation.
     it("applies the other reports and logs the malformed ones", async () => {
       const { node, view, events } = await startNode();
       const other = { ...REPORT, address: "127.0.0.1:21779" };
--- a/packages/router/src/member_directory.ts
+++ b/packages/router/src/member_directory.ts
@@ -119,7 +119,7 @@
 
   /**
    * Writes this daemon's address. This is done at each start, even if the record exists, because the revision of the
-   * write is higher than any that an earlier process of this daemon has seen.
+   * write is higher than any that an earlier process of this daemon has read.
    *
    * Most starts in a fleet are first starts, so the record is assumed not to exist, which saves a read for each of
    * them.
--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The router that runs beside one backend server. It accesses settings, store, configuration, callers and backend
+ * The router that runs on the host of one backend server. It accesses settings, store, configuration, callers and backend
  * servers through ports, and does not depend on a platform.
  *
  * @module
--- a/packages/router/src/ownership_lease_manager.ts
+++ b/packages/router/src/ownership_lease_manager.ts
@@ -223,7 +223,7 @@
     }
     const record = inspector.inspect(service, found.value);
     if (record === undefined) {
-      // Confirms nothing, since a new record may name other owners at any moment.
+      // Confirms nothing, since a record with other owners may be written at any time.
       return;
     }
     directory.updateRecord(service, record);
--- a/packages/router/src/shared_reader_test.ts
+++ b/packages/router/src/shared_reader_test.ts
@@ -70,7 +70,7 @@
   });
 
   describe("when a request arrives during a read", () => {
-    // Guards against an owner that keeps its keys after a takeover: the response to its request came from a read that
+    // Guards against an owner that keeps its keys after a takeover: the response to its request is that of a read that
     // had begun earlier and so returned the previous record.
     it("responds with the next read", async () => {
       const { store, reads } = createStore(100);
