--- a/packages/keyspace/src/choose_arbiters.ts
+++ b/packages/keyspace/src/choose_arbiters.ts
@@ -22,8 +22,8 @@
 
 /**
  * Chooses arbiters. Current arbiters that are still candidates stay, since a new one is of use only after the maximum
- * ownership lease. The others are daemons whose backend servers belong to other services, or that have none, each in an
- * availability zone of its own, as far as possible.
+ * ownership lease. The others are daemons of other services, each in an availability zone of its own, as far as
+ * possible.
  *
  * @returns the chosen daemons: fewer than `ARBITER_COUNT` where there are not enough candidates.
  */
--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The router that runs on the host of one backend server. It accesses settings, store, configuration, callers and backend
- * servers through ports, and does not depend on a platform.
+ * The router that runs on the host of one backend server. It accesses settings, store, configuration, callers and
+ * backend servers through ports, and does not depend on a platform.
  *
  * @module
  */
