--- a/packages/keyspace/src/write_backoff.ts
+++ b/packages/keyspace/src/write_backoff.ts
@@ -5,7 +5,7 @@
  */
 
 /**
- * Minimum delay after a conflict, in milliseconds: within it, the update about the other writer's change has usually
+ * Minimum delay after a conflict, in milliseconds: within it, the update about the other writer's change has typically
  * been received, and the record need not be read from the store.
  */
 const MIN_DELAY_MS = 15;
@@ -33,10 +33,10 @@
   }
 
   /**
-   * Records that a write failed because another one came first.
+   * Records that a write failed because another one took effect first.
    *
    * @returns the delay before the next attempt, in milliseconds. Its upper bound grows with each conflict; the jitter
-   *   keeps writers that lost to the same write from colliding again.
+   *   keeps writers that conflicted with the same write from conflicting again.
    */
   recordConflict(): number {
     const maxDelayMs = Math.min(
--- a/packages/router/src/ownership_leader.ts
+++ b/packages/router/src/assignment_manager.ts
@@ -1,6 +1,6 @@
 /**
- * Assigns keys without an owner, takes over the keys of lost owners, and appoints arbiters: what the leading daemon
- * does for all owners of a service.
+ * Assigns keys without an owner, takes over the keys of lost owners, and appoints arbiters. Each daemon runs this code;
+ * it acts only where the daemon leads the fleet or is an arbiter.
  *
  * @module
  */
@@ -17,20 +17,20 @@
 } from "@bamboolink/keyspace";
 import type { MemberView } from "@bamboolink/membership";
 import type { BackendManager } from "./backend_manager.ts";
-import { bootMs, steadyMs } from "./clock.ts";
+import { bootMs, monotonicMs } from "./clock.ts";
 import type { OwnershipDirectory } from "./ownership_directory.ts";
 import type { RecordInspector } from "./record_inspector.ts";
 import type { RecordWriter } from "./record_writer.ts";
 
 /**
- * An owner is sealed when it has been unresponsive for this much longer than the time-out of the member view, in ms.
+ * An owner is sealed when it has been unresponsive for this much longer than the timeout of the member view, in ms.
  */
 const SEAL_DELAY_MS = 500;
 /** A daemon leads only after it has received the reports of the others for this long, in milliseconds. */
 const MIN_OBSERVATION_MS = 1_500;
 
-/** Dependencies of the ownership leader. */
-export interface OwnershipLeaderContext {
+/** Dependencies of the assignment manager. */
+export interface AssignmentManagerContext {
   readonly view: MemberView;
   readonly directory: OwnershipDirectory;
   readonly inspector: RecordInspector;
@@ -38,19 +38,19 @@
   readonly backendManager: () => BackendManager;
 }
 
-/** One daemon's part in assigning keys, as the leader or as an arbiter. */
-export class OwnershipLeader {
+/** Assigns keys, as the leading daemon or as an arbiter. */
+export class AssignmentManager {
   private readonly takeoverTimers = new Map<string, TakeoverTimers>();
   private readonly arbiterStates = new Map<string, ArbiterState>();
-  private readonly startedAtMs = steadyMs();
+  private readonly startedAtMs = monotonicMs();
   private readonly bootedAtMs = bootMs();
   private registrationRevision = Infinity;
 
-  private constructor(private readonly context: OwnershipLeaderContext) {}
+  private constructor(private readonly context: AssignmentManagerContext) {}
 
-  /** Creates a leader that knows no record yet. */
-  static create(context: OwnershipLeaderContext): OwnershipLeader {
-    return new OwnershipLeader(context);
+  /** Creates a manager that knows no record yet. */
+  static create(context: AssignmentManagerContext): AssignmentManager {
+    return new AssignmentManager(context);
   }
 
   /** Sets a revision of the store that was written by this process. */
@@ -59,7 +59,7 @@
     this.arbiterStates.forEach((state) => state.recordStartRevision(revision));
   }
 
-  /** Takes in the seals and appointments of a record; the waits before a takeover count from them. */
+  /** Records the seals and appointments of a record; the waits before a takeover count from now for new ones. */
   observeRecord(service: string, record: OwnershipRecord): void {
     const timers = this.takeoverTimers.get(service) ?? TakeoverTimers.create();
     this.takeoverTimers.set(service, timers);
@@ -99,14 +99,14 @@
   /** Any daemon may write, since writes are conditional; only one of them does, to save store calls. */
   private isLeading(): boolean {
     const { view } = this.context;
-    const hasObserved = steadyMs() - this.startedAtMs >= MIN_OBSERVATION_MS;
+    const hasObserved = monotonicMs() - this.startedAtMs >= MIN_OBSERVATION_MS;
     return hasObserved && view.ownReport.reachesStore &&
-      this.findLeader() === undefined;
+      this.findOtherLeader() === undefined;
   }
 
-  /** The leading daemon, if it is another one: the first in the order of addresses that reaches the store. */
-  findLeader(): string | undefined {
-    const firstAddress = this.context.view.alive(steadyMs())
+  /** The leading daemon, if it is another one: the first in the order of addresses that can reach the store. */
+  findOtherLeader(): string | undefined {
+    const firstAddress = this.context.view.alive(monotonicMs())
       .filter(({ reachesStore, phase }) => reachesStore && phase !== "stopping")
       .map(({ address }) => address)
       .reduce(
@@ -116,9 +116,9 @@
     return firstAddress === this.ownAddress ? undefined : firstAddress;
   }
 
-  /** The shared reader, if any daemon reaches the store: the leading daemon, which reads for itself, too. */
+  /** The shared reader, if any daemon can reach the store: the leading daemon, which then reads for itself, too. */
   findReader(): string | undefined {
-    return this.findLeader() ??
+    return this.findOtherLeader() ??
       (this.context.view.ownReport.reachesStore ? this.ownAddress : undefined);
   }
 
@@ -206,7 +206,7 @@
       );
   }
 
-  /** Appoints live daemons as arbiters, so that the keys of a lost host can be reassigned soon. */
+  /** Appoints alive daemons as arbiters, so that the keys of a lost host can be reassigned soon. */
   private appointArbiters(service: string, known: OwnershipRecord): void {
     const currentArbiters = known.arbiters.map(({ daemon }) => daemon);
     const chosen = this.chooseArbiters(service, known);
@@ -226,11 +226,11 @@
     record: OwnershipRecord,
   ): string[] {
     const { view } = this.context;
-    const candidates = [...view.alive(steadyMs()), view.ownReport].map(
+    const candidates = [...view.alive(monotonicMs()), view.ownReport].map(
       (report) => ({
         daemon: report.address,
         availabilityZone: report.availabilityZone,
-        isOwner: report.service === service,
+        isOfService: report.service === service,
         reachesStore: report.reachesStore,
       }),
     );
@@ -240,13 +240,13 @@
 
   private assignFirst(service: string): void {
     const { view } = this.context;
-    const nowMs = steadyMs();
+    const nowMs = monotonicMs();
     const alive = view.alive(nowMs);
     const members = [...alive, view.ownReport]
       .filter((report) => report.service === service);
     const candidates = this.allCandidates(service);
     const isDue = isFirstAssignmentDue({
-      unseenDaemons: view.knownAddresses.length - alive.length,
+      absentDaemons: view.knownAddresses.length - alive.length,
       unannouncedBackends: members.filter(({ phase }) =>
         phase === "absent"
       ).length,
@@ -269,7 +269,7 @@
   /** Seals unresponsive owners; returns whether there are any. */
   private sealLost(service: string, known: OwnershipRecord): boolean {
     const { view } = this.context;
-    const nowMs = steadyMs();
+    const nowMs = monotonicMs();
     const observedMs = nowMs - this.startedAtMs;
     const lost = known.daemons.filter((daemon) =>
       !known.isSealed(daemon) &&
@@ -311,9 +311,9 @@
   }
 }
 
-/** The live backend servers of a service that may own keys, without the one on this host. */
+/** The backend servers of a service, on the hosts of other alive daemons, that may own keys. */
 export function findCandidates(view: MemberView, service: string): Candidate[] {
-  return view.alive(steadyMs())
+  return view.alive(monotonicMs())
     .filter((report) => report.service === service && report.phase === "ready")
     .map(({ address, slots }) => ({ daemon: address, weight: slots }));
 }
--- a/packages/router/src/backend_manager.ts
+++ b/packages/router/src/backend_manager.ts
@@ -15,7 +15,7 @@
 } from "@bamboolink/keyspace";
 import type { Logger } from "@bamboolink/logger";
 import type { MemberPhase } from "@bamboolink/membership";
-import { bootMs, steadyMs } from "./clock.ts";
+import { bootMs, monotonicMs } from "./clock.ts";
 import type { BackendSuspicion, LocalBackend } from "./local_backend.ts";
 import type {
   BackendDeparture,
@@ -26,11 +26,11 @@
 const INCARNATION_TIMEOUT_MS = 2_500;
 /** Multiple of the typical heartbeat interval after which a heartbeat is overdue; some arrive a little late. */
 const OVERDUE_FACTOR = 1.5;
-/** Minimum remaining hold that lasts a backend server until the response to its next heartbeat, in milliseconds. */
+/** Minimum remaining hold with which a backend server keeps its keys until its next heartbeat response, in ms. */
 const MIN_HOLD_MS = 1_200;
 /** A backend server that still refuses connections after this time, in milliseconds, has ended. */
 const REFUSAL_PROBE_DELAY_MS = 150;
-/** Maximum accepted cold time, in milliseconds; longer ones are capped, as each heartbeat reports the time anew. */
+/** Maximum accepted cold time, in milliseconds; longer ones are capped, as each heartbeat reports the rest of it. */
 const MAX_COLD_MS = 60_000;
 
 /**
@@ -39,14 +39,14 @@
  */
 const DRAIN_FORWARD_SHARE = 0.75;
 
-/** Evacuation state of the own availability zone, as operators have set it. */
-export interface EvacuationState {
+/** Evacuation state of this daemon's availability zone, as operators have set it. */
+export interface LocalEvacuation {
   /** Whether the zone is evacuated, so that the backend server on this host is to get no further requests or keys. */
   readonly isEvacuated: boolean;
   /** When the handover of keys and the forwarding of queued requests end, on the monotonic clock, in milliseconds. */
   readonly handOverUntilMs: number;
   /** Waits until it is known which zones are evacuated; returns false if that is still unknown. */
-  awaitSettled(): Promise<boolean>;
+  awaitKnown(): Promise<boolean>;
 }
 
 /** Dependencies of the backend manager. */
@@ -55,7 +55,7 @@
   readonly backend: LocalBackend;
   readonly grants: GrantTracker;
   readonly lease: OwnershipLease;
-  readonly evacuation: EvacuationState;
+  readonly evacuation: LocalEvacuation;
   /** Time from the start of a drain until the backend server may get no more requests, in milliseconds. */
   readonly drainMs: () => number;
   /** Probes which incarnation responds at the address of the backend server of a service. */
@@ -71,25 +71,28 @@
   readonly mayGrant: (service: string) => boolean;
   /** Called when the phase or the incarnation has changed. */
   readonly onChange: () => void;
-  /** Called when the backend server has released ranges that were requested from it. */
-  readonly onFreed: (
-    freed: readonly { from: number; to: number; handover: string }[],
+  /** Called when the backend server has released ranges that are no longer granted to it. */
+  readonly onReleased: (
+    released: readonly { from: number; to: number; handover: string }[],
   ) => void;
   /**
    * Called after the backend server has announced its drain, or while it is evacuated, before its heartbeat is
    * responded to; returns whether its keys can be reassigned now.
    */
   readonly beforeDrain: () => Promise<boolean>;
-  /** Called when the process of an incarnation has ended. */
+  /** Called when the process of an incarnation has ended, or is assumed to have ended. */
   readonly onProcessEnded: (end: BackendProcessEnd) => void;
   /** Called before a grant is decided; it may delay the heartbeat response for a handover. */
   readonly beforeGrant: () => Promise<void>;
 }
 
-/** The end of a backend server's process. */
+/** The end of a backend server's process, proved or assumed. */
 export interface BackendProcessEnd {
   readonly instance: string | undefined;
-  /** "refused": nothing listens at its address; "replaced": another incarnation has taken its place. */
+  /**
+   * Why the process is taken to have ended. "refused": nothing listens at its address; "replaced": another incarnation
+   * has taken its place, which is no proof of the end if the succession was only assumed (see `Succession`).
+   */
   readonly proof: "refused" | "replaced";
 }
 
@@ -137,7 +140,7 @@
 
   /** Time since the last heartbeat, in milliseconds. */
   sinceLastHeartbeatMs(): number {
-    return bootMs() - this.incarnations.lastHeartbeatMs;
+    return bootMs() - this.incarnations.lastHeartbeatAtMs;
   }
 
   /** Until when requests may be forwarded to a draining or evacuated backend server, on the monotonic clock. */
@@ -150,14 +153,14 @@
       : drainForwardEndMs;
   }
 
-  /** Called when the evacuation of the own availability zone begins or ends. */
+  /** Called when the evacuation of this daemon's availability zone begins or ends. */
   onEvacuationChanged(): void {
     if (this.currentPhase === "ready" || this.currentPhase === "evacuated") {
       this.setPhase(this.undrainedPhase, "evacuation");
     }
   }
 
-  /** The phase of a backend server that does not drain. */
+  /** The phase of a backend server that is not draining. */
   private get undrainedPhase(): MemberPhase {
     return this.context.evacuation.isEvacuated ? "evacuated" : "ready";
   }
@@ -167,7 +170,7 @@
     heartbeat: BackendHeartbeat,
   ): Promise<HeartbeatResponse> {
     const { instance, service } = heartbeat;
-    if (!await this.context.evacuation.awaitSettled()) {
+    if (!await this.context.evacuation.awaitKnown()) {
       // A daemon that has just started must not accept requests for an evacuated backend server.
       return { kind: "unacknowledged" };
     }
@@ -181,7 +184,7 @@
     }
     const mustDelay = this.mayDelayDrain(heartbeat) &&
       !await this.context.beforeDrain() &&
-      this.context.grants.remainingHoldMs(bootMs()) > MIN_HOLD_MS;
+      this.context.grants.certainHoldMs(bootMs()) > MIN_HOLD_MS;
     if (mustDelay) {
       this.context.logger.log("leaving_not_acknowledged", {
         instance: heartbeat.instance,
@@ -201,8 +204,8 @@
   /**
    * Whether the drain of the backend server may have to remain unacknowledged for now. Once it is acknowledged, the
    * server gets no requests, and while the store can't be written its keys can't be reassigned; as long as it waits for
-   * the acknowledgement, it goes on serving them. Only an acknowledgement renews its hold, so it gets one before the
-   * hold expires, and goes on serving within its drain time.
+   * the acknowledgement, it continues to serve them. Only an acknowledgement renews its hold, so it gets one before the
+   * hold expires, and continues to serve within its drain time.
    */
   private mayDelayDrain(heartbeat: BackendHeartbeat): boolean {
     return heartbeat.isDraining && this.currentPhase === "ready" &&
@@ -325,9 +328,9 @@
       });
     }
     grants.raiseTokens(heartbeat.holds);
-    const freed = grants.recordFreed(heartbeat.freed);
-    if (freed.length > 0) {
-      this.context.onFreed(freed);
+    const released = grants.recordReleased(heartbeat.freed);
+    if (released.length > 0) {
+      this.context.onReleased(released);
     }
     const phase = heartbeat.isDraining ? "draining" : this.undrainedPhase;
     this.setPhase(phase, "heartbeat");
@@ -357,7 +360,7 @@
   private updateColdTime(
     { instance, service, coldMs }: BackendHeartbeat,
   ): void {
-    const nowMs = steadyMs();
+    const nowMs = monotonicMs();
     if (coldMs > 0 && nowMs >= this.coldEndsAtMs) {
       const most_per_second = this.context.coldLimit(service);
       this.context.logger.log("backend_cold", {
@@ -375,7 +378,7 @@
     const { lastHeartbeat } = this;
     const isDraining = phase === "draining";
     this.drainStartedAtMs = isDraining
-      ? Math.min(this.drainStartedAtMs, steadyMs())
+      ? Math.min(this.drainStartedAtMs, monotonicMs())
       : Infinity;
     backend.updateIdentity(
       lastHeartbeat === undefined || phase === "absent" ? undefined : {
@@ -407,7 +410,7 @@
   private async verifySuccession(
     heartbeat: BackendHeartbeat,
   ): Promise<Succession> {
-    const arrivedMs = bootMs();
+    const arrivedAtMs = bootMs();
     const knownIncarnation = this.incarnations.current;
     const found = await this.context.probe(this.lastHeartbeat?.service ?? "");
     if (knownIncarnation !== this.incarnations.current) {
@@ -415,7 +418,7 @@
       return "rejected";
     }
     return this.incarnations.classifySuccession(heartbeat, found, {
-      arrivedMs,
+      arrivedAtMs,
       overdueMs: this.context.heartbeatIntervalMs() * OVERDUE_FACTOR,
       unresponsiveMs: INCARNATION_TIMEOUT_MS,
     });
--- a/packages/router/src/backend_manager_test.ts
+++ b/packages/router/src/backend_manager_test.ts
@@ -13,8 +13,8 @@
 import { Logger } from "@bamboolink/logger";
 import {
   BackendManager,
-  type EvacuationState,
   type HeartbeatResponse,
+  type LocalEvacuation,
 } from "./backend_manager.ts";
 import { bootMs } from "./clock.ts";
 import { LocalBackend } from "./local_backend.ts";
@@ -28,12 +28,12 @@
 const OWN_RANGE = { from: 0, to: 99 };
 
 function createEvacuation(): {
-  -readonly [Name in keyof EvacuationState]: EvacuationState[Name];
+  -readonly [Name in keyof LocalEvacuation]: LocalEvacuation[Name];
 } {
   return {
     isEvacuated: false,
     handOverUntilMs: Infinity,
-    awaitSettled: () => Promise.resolve(true),
+    awaitKnown: () => Promise.resolve(true),
   };
 }
 
@@ -44,7 +44,7 @@
     beforeDrain?: () => boolean;
     probe?: () => Promise<ProbeResult>;
     heartbeatMs?: number;
-    evacuation?: EvacuationState;
+    evacuation?: LocalEvacuation;
   } = {},
 ): BackendManager {
   const releaseAll = () => {
@@ -81,7 +81,7 @@
     probe: options.probe ?? (() => Promise.resolve({ kind: "silent" })),
     mayGrant: () => true,
     onChange: () => undefined,
-    onFreed: () => undefined,
+    onReleased: () => undefined,
     beforeDrain: () => Promise.resolve((options.beforeDrain ?? releaseAll)()),
     onProcessEnded: () => undefined,
     beforeGrant: () => Promise.resolve(),
@@ -119,8 +119,8 @@
   };
 
   describe("when a backend server that owns keys drains", () => {
-    // Guards against keys of a draining backend server without an owner for more than a second: they were released a
-    // tick after the response that acknowledged the drain, so only the response to the next heartbeat omitted them.
+    // Guards against keys of a draining backend server without an owner for more than a second: if they are released a
+    // tick after the response that acknowledges the drain, only the response to the next heartbeat omits them.
     it("no longer grants them in the response that acknowledges the drain", async () => {
       const { grants, lease } = createOwner();
       const manager = createManager(grants, lease);
@@ -132,7 +132,7 @@
     });
 
     // Guards against keys of two draining backend servers without an owner for as long as the store is down: their
-    // drain was acknowledged, so they got no more requests, although their keys could not be reassigned.
+    // drain is acknowledged, so they get no more requests, although their keys can't be reassigned.
     it("does not acknowledge the drain while the keys can't be reassigned, and remains ready", async () => {
       const { grants, lease } = createOwner();
       const manager = createManager(grants, lease, {
@@ -185,7 +185,7 @@
     it("acknowledges nothing until it is known which zones are evacuated", async () => {
       const { grants, lease } = createOwner();
       const evacuation = createEvacuation();
-      evacuation.awaitSettled = () => Promise.resolve(false);
+      evacuation.awaitKnown = () => Promise.resolve(false);
       const manager = createManager(grants, lease, { evacuation });
       const response = await manager.handleHeartbeat(heartbeat);
       expect(response.kind).to.equal("unacknowledged");
@@ -211,7 +211,7 @@
     }
 
     // Guards against keys of a backend server that crashed and restarted between two heartbeats being unserved until
-    // its sequence number exceeds the previous one: its heartbeats were treated as late ones of the previous process.
+    // its sequence number exceeds the previous one: its heartbeats are treated as late ones of the previous process.
     it("grants the keys to the new process with a higher fencing token", async () => {
       const { manager } = createRestarted({ born: 2_000 });
       const [before] = rangesIn(await manager.handleHeartbeat(previous))!;
@@ -220,7 +220,7 @@
     });
 
     // Guards against a restarted backend server that gets no keys: a delayed heartbeat of the previous process,
-    // received after the first one of the new process, was accepted, since ended incarnations were not remembered.
+    // received after the first one of the new process, is accepted unless ended incarnations are recorded.
     it("drops delayed heartbeats of the previous process", async () => {
       const { manager } = createRestarted({ born: 2_000 });
       await manager.handleHeartbeat(previous);
@@ -234,9 +234,9 @@
       expect(rangesIn(following)).to.have.length(1);
     });
 
-    // Guards against two servers that hold the same keys: a delayed heartbeat was treated as a new process, the grant
-    // of the live one was discarded, and its keys were assigned to another owner before the grant expired. The response
-    // to the probe, which could not distinguish the two processes, had been taken as proof that one had ended.
+    // Guards against two servers that hold the same keys: a delayed heartbeat is treated as a new process, the grant of
+    // the running one is discarded, and its keys are assigned to another owner before the grant expires. The response
+    // to the probe, which does not distinguish the two processes, must not count as proof that one has ended.
     it("keeps the previous process's grant until it expires if the probe is inconclusive", async () => {
       const { grants, lease } = createOwner();
       const manager = createManager(grants, lease, {
@@ -270,8 +270,8 @@
   });
 
   describe("when a heartbeat names a service that is not configured", () => {
-    // Guards against releasing the keys of a live backend server, or sending it no requests, after another client sent
-    // a well-formed heartbeat of a service that does not exist: the service of the last heartbeat was always adopted.
+    // Guards against releasing the keys of a running backend server, or sending it no requests, after another client
+    // has sent a well-formed heartbeat of a service that does not exist: the service of the last heartbeat is adopted.
     it("changes nothing and does not acknowledge the heartbeat", async () => {
       const { grants, lease } = createOwner();
       const manager = createManager(grants, lease);
--- a/packages/router/src/key_rebalancer.ts
+++ b/packages/router/src/key_rebalancer.ts
@@ -11,7 +11,7 @@
 import type { Logger } from "@bamboolink/logger";
 import type { MemberReport, MemberView } from "@bamboolink/membership";
 import type { BackendManager } from "./backend_manager.ts";
-import { steadyMs } from "./clock.ts";
+import { monotonicMs } from "./clock.ts";
 import type { HandoverCoordinator } from "./handover_coordinator.ts";
 import type { LocalBackend } from "./local_backend.ts";
 import type { OwnershipDirectory } from "./ownership_directory.ts";
@@ -42,7 +42,7 @@
 /** Plans and begins moves of keys. */
 export class KeyRebalancer {
   private plannedMoves: readonly PlannedMove[] = [];
-  private begunMoves: readonly PlannedMove[] = [];
+  private lastBegunMoves: readonly PlannedMove[] = [];
   private lastPlannedAtMs = -Infinity;
 
   private constructor(private readonly context: KeyRebalancerContext) {}
@@ -53,16 +53,16 @@
   }
 
   /** The moves that were begun last, with the new owner of each range. */
-  get destinations(): readonly PlannedMove[] {
-    return this.begunMoves;
+  get begunMoves(): readonly PlannedMove[] {
+    return this.lastBegunMoves;
   }
 
-  /** Plans moves of the keys with the highest load while the own backend server is more loaded than others. */
+  /** Plans moves of the keys with the highest load while this daemon's backend server is more loaded than others. */
   tick(): void {
     const { grants, backend, view, backendManager, logger, leaseManager } =
       this.context;
     const service = this.context.ownService();
-    const nowMs = steadyMs();
+    const nowMs = monotonicMs();
     if (
       service === undefined ||
       nowMs - this.lastPlannedAtMs < REBALANCE_INTERVAL_MS
@@ -118,8 +118,8 @@
   }
 
   /**
-   * Load of the own keys per slot. Keys that have just been moved away don't count any more, so that an owner does not
-   * rebalance a second time because of them.
+   * Load of this daemon's keys per slot. Keys that have just been moved away don't count any more, so that an owner
+   * does not rebalance a second time because of them.
    */
   get utilization(): number {
     const { backend, backendManager } = this.context;
@@ -136,7 +136,7 @@
       Math.max(1, backendManager().slots);
   }
 
-  /** Load of the own keys, in slots. */
+  /** Load of this daemon's keys, in slots. */
   private get load(): number {
     const { grants, backend } = this.context;
     return backend.profile.loadOf(grants.ownRanges) / 1_000;
@@ -148,8 +148,8 @@
   }
 
   /**
-   * Begins the planned moves just before a heartbeat is responded to. Until that response the backend server goes on
-   * serving the keys, and by then the new owners are ready to receive them.
+   * Begins the planned moves just before a heartbeat is responded to. Until that response the backend server continues
+   * to serve the keys, and by then their recipients are ready to receive them.
    */
   async beginMoves(): Promise<void> {
     const { plannedMoves } = this;
@@ -159,9 +159,9 @@
     const service = this.context.ownService();
     if (
       service !== undefined &&
-      await this.context.leaseManager.checkStoreReachable(service)
+      await this.context.leaseManager.confirmKeysMovable(service)
     ) {
-      this.begunMoves = plannedMoves;
+      this.lastBegunMoves = plannedMoves;
       this.context.grants.beginRelease(plannedMoves);
     }
   }
--- a/packages/router/src/ownership_manager.ts
+++ b/packages/router/src/ownership_manager.ts
@@ -1,13 +1,12 @@
 /**
- * One daemon's part in key ownership: updates the grants from the ownership records, and reassigns the keys that the
- * backend server on this host has released.
+ * Manages the keys of the backend server on this host: updates its grants from the ownership records, and reassigns the
+ * keys that it has released.
  *
  * @module
  */
 import {
   assignUnowned,
   type Candidate,
-  type FreedRange,
   type GrantTracker,
   intersect,
   type KeyRange,
@@ -15,17 +14,18 @@
   type OwnershipRecord,
   type PlannedMove,
   type PromiseRequest,
+  type ReleasedRange,
 } from "@bamboolink/keyspace";
 import type { Logger } from "@bamboolink/logger";
 import type { MemberView } from "@bamboolink/membership";
 import type { Store } from "@bamboolink/store";
 import type { BackendManager } from "./backend_manager.ts";
-import { bootMs, steadyMs } from "./clock.ts";
+import { bootMs, monotonicMs } from "./clock.ts";
 import type { HandoverCoordinator } from "./handover_coordinator.ts";
 import { KeyRebalancer } from "./key_rebalancer.ts";
 import type { LocalBackend } from "./local_backend.ts";
 import type { OwnershipDirectory } from "./ownership_directory.ts";
-import { findCandidates, OwnershipLeader } from "./ownership_leader.ts";
+import { AssignmentManager, findCandidates } from "./assignment_manager.ts";
 import type { RecordInspector } from "./record_inspector.ts";
 import { RecordWriter } from "./record_writer.ts";
 import type { SharedReadRequest, SharedReadResponse } from "./shared_reader.ts";
@@ -34,7 +34,7 @@
   OwnershipLeaseManager,
 } from "./ownership_lease_manager.ts";
 
-/** Without a heartbeat of the own backend server for this long, none is expected soon, in milliseconds. */
+/** After this time without a heartbeat, in milliseconds, keys whose grants have expired are released. */
 const HEARTBEAT_TIMEOUT_MS = 3_000;
 
 /** Dependencies of the ownership manager. */
@@ -74,8 +74,8 @@
   private readonly writer: RecordWriter;
   private readonly leaseManager: OwnershipLeaseManager;
   private readonly rebalancer: KeyRebalancer;
-  private readonly leader: OwnershipLeader;
-  private readonly freedRanges: FreedRange[] = [];
+  private readonly assignmentManager: AssignmentManager;
+  private readonly releasedRanges: ReleasedRange[] = [];
   private registrationRevision = 0;
 
   private constructor(private readonly context: OwnershipManagerContext) {
@@ -85,8 +85,8 @@
       ...context,
       ownService,
       ownAddress: () => this.ownAddress,
-      findReader: () => this.leader.findReader(),
-      isReleasingKeys: () => this.isReleasingKeys,
+      findReader: () => this.assignmentManager.findReader(),
+      mustReleaseKeys: () => this.mustReleaseKeys,
       onRecordRead: (service) => this.reapplyRecord(service),
       onSealed: (service) => this.handleSeal(service),
     });
@@ -95,7 +95,10 @@
       leaseManager: this.leaseManager,
       ownService,
     });
-    this.leader = OwnershipLeader.create({ ...context, writer: this.writer });
+    this.assignmentManager = AssignmentManager.create({
+      ...context,
+      writer: this.writer,
+    });
   }
 
   static create(context: OwnershipManagerContext): OwnershipManager {
@@ -112,7 +115,7 @@
    */
   onRegistered(revision: number): void {
     this.registrationRevision = revision;
-    this.leader.onRegistered(revision);
+    this.assignmentManager.onRegistered(revision);
     this.context.directory.keyedServices.forEach((service) => {
       const record = this.context.directory.record(service);
       if (record !== undefined) {
@@ -138,7 +141,7 @@
     if (service === undefined || this.candidatesFor(service).length === 0) {
       return true;
     }
-    if (!await this.leaseManager.checkStoreReachable(service)) {
+    if (!await this.leaseManager.confirmKeysMovable(service)) {
       return false;
     }
     const { grants } = this.context;
@@ -147,7 +150,7 @@
   }
 
   /** Whether the record still names this daemon as the owner of keys that others should own. */
-  get isReleasingKeys(): boolean {
+  get mustReleaseKeys(): boolean {
     const { grants, backendManager } = this.context;
     const service = this.ownService;
     const isUnreadyOwner = backendManager().phase !== "ready" &&
@@ -157,8 +160,8 @@
   }
 
   /** Handles ranges that the backend server has released, with the proofs of their handover. */
-  handleFreed(freed: readonly FreedRange[]): void {
-    this.freedRanges.push(...freed);
+  handleReleased(released: readonly ReleasedRange[]): void {
+    this.releasedRanges.push(...released);
     this.writeReleases();
   }
 
@@ -169,7 +172,7 @@
     this.writeReleases();
     this.releaseForeign();
     this.rebalancer.tick();
-    this.leader.tick();
+    this.assignmentManager.tick();
   }
 
   /** Handles a response of the shared reader. */
@@ -179,15 +182,15 @@
 
   /** Whether this daemon may promise an owner not to take over its keys for a while. */
   mayPromise(service: string, request: PromiseRequest): boolean {
-    return this.leader.mayPromise(service, request);
+    return this.assignmentManager.mayPromise(service, request);
   }
 
   /** Whether this daemon reads the store for all owners. */
   get isSharedReader(): boolean {
-    return this.leader.findReader() === this.ownAddress;
+    return this.assignmentManager.findReader() === this.ownAddress;
   }
 
-  /** Load of the own keys per slot. */
+  /** Load of this daemon's keys per slot. */
   get utilization(): number {
     return this.rebalancer.utilization;
   }
@@ -214,7 +217,7 @@
   }
 
   private applyRecord(service: string, record: OwnershipRecord): void {
-    this.leader.observeRecord(service, record);
+    this.assignmentManager.observeRecord(service, record);
     if (service === this.ownService && this.registrationRevision > 0) {
       const { grants, handoverCoordinator, backend } = this.context;
       const previousKeyCount = grants.ownKeyCount;
@@ -230,7 +233,7 @@
     }
   }
 
-  /** Applies the known record again, since the own service may have become known only after its record. */
+  /** Applies the known record again, since this daemon's service may have become known only after its record. */
   private reapplyRecord(service: string): void {
     const record = this.context.directory.record(service);
     if (record !== undefined) {
@@ -239,13 +242,13 @@
   }
 
   /**
-   * Handles a seal: others consider this daemon lost. It has the seal removed, unless it sees fewer than half of the
-   * known daemons alive and is probably unreachable itself; then it releases its keys.
+   * Handles a seal: others consider this daemon lost. It removes the seal, unless it considers fewer than half of the
+   * known daemons alive and so is probably unreachable itself; then it releases its keys.
    */
   private handleSeal(service: string): void {
     const { view, grants } = this.context;
     const known = view.knownAddresses.length;
-    const alive = view.alive(steadyMs()).length;
+    const alive = view.alive(monotonicMs()).length;
     if (known > 0 && alive * 2 < known) {
       grants.beginRelease(grants.ownRanges);
       return;
@@ -260,7 +263,7 @@
     );
   }
 
-  /** Begins the release of keys of a backend server that drains, has ended or can't be granted keys any more. */
+  /** Begins the release of keys of a backend server that is draining, has ended or can't be granted keys any more. */
   private beginDueReleases(): void {
     const { grants, backendManager } = this.context;
     const service = this.ownService;
@@ -277,7 +280,7 @@
     // A backend server that announced its departure without a heartbeat holds its keys until its grant expires, and
     // serves them while requests may still be forwarded to it.
     const hasDrained = (phase === "draining" || phase === "evacuated") &&
-      (steadyMs() > forwardUntilMs || grants.remainingHoldMs(bootMs()) === 0);
+      (monotonicMs() > forwardUntilMs || grants.certainHoldMs(bootMs()) === 0);
     if (hasDrained || phase === "absent") {
       grants.beginRelease(grants.ownRanges);
       return;
@@ -350,18 +353,18 @@
   ): OwnershipRecord {
     const candidates = this.candidatesFor(service);
     const planned = released.flatMap((range) =>
-      this.rebalancer.destinations.flatMap((destination) => {
-        const shared = intersect(destination, range);
+      this.rebalancer.begunMoves.flatMap((move) => {
+        const shared = intersect(move, range);
         const isAvailable = candidates.some(({ daemon }) =>
-          daemon === destination.daemon
+          daemon === move.daemon
         );
         return shared === undefined || !isAvailable
           ? []
-          : [{ ...shared, daemon: destination.daemon, handover: "" }];
+          : [{ ...shared, daemon: move.daemon, handover: "" }];
       })
     );
-    const freed = record.release(released);
-    const withPlanned = freed.assign(planned);
+    const withoutOwners = record.release(released);
+    const withPlanned = withoutOwners.assign(planned);
     const unassigned = released.flatMap((range) =>
       withPlanned.findUnowned().flatMap((gap) => intersect(gap, range) ?? [])
     );
@@ -369,18 +372,18 @@
     const assignments = [...planned, ...rest].flatMap((assignment) =>
       this.withHandoverProofs(assignment)
     );
-    return freed.assign(assignments);
+    return withoutOwners.assign(assignments);
   }
 
   /** Adds to an assignment its parts that were handed over, each with the proof of its handover. */
   private withHandoverProofs<A extends KeyRange & { handover: string }>(
     assignment: A,
   ): A[] {
-    const proofs = this.freedRanges.flatMap((freed) => {
-      const shared = intersect(freed, assignment);
+    const proofs = this.releasedRanges.flatMap((released) => {
+      const shared = intersect(released, assignment);
       return shared === undefined
         ? []
-        : [{ ...assignment, ...shared, handover: freed.handover }];
+        : [{ ...assignment, ...shared, handover: released.handover }];
     });
     return [assignment, ...proofs];
   }
--- a/packages/router/src/shared_reader.ts
+++ b/packages/router/src/shared_reader.ts
@@ -2,7 +2,7 @@
  * Reads the ownership record once for many owners.
  *
  * Each owner needs the current record every second or two. If each read it on its own, the number of store calls would
- * grow with the number of owners: 98 of them would read 65 times per second. So owners send their requests to one
+ * grow with the number of owners: 98 owners would read 65 times per second. So owners send their requests to one
  * daemon, the shared reader, which batches them, reads once, and responds to all: about 0.7 reads per second for any
  * number of owners.
  *
@@ -11,7 +11,7 @@
 import { batchDelayMs } from "@bamboolink/keyspace";
 import type { Logger } from "@bamboolink/logger";
 import type { Store } from "@bamboolink/store";
-import { steadyMs } from "./clock.ts";
+import { monotonicMs } from "./clock.ts";
 import { OWNERSHIP_PREFIX } from "./ownership_directory.ts";
 import type { RecordInspector } from "./record_inspector.ts";
 
@@ -33,7 +33,7 @@
   readonly logger: Logger;
   /** Checks the result of each read; owners receive only the revision, not the outcome of this check. */
   readonly inspector: RecordInspector;
-  readonly onResponse: (owner: string, answer: SharedReadResponse) => void;
+  readonly onResponse: (owner: string, response: SharedReadResponse) => void;
 }
 
 /** Batches the read requests of owners. */
@@ -58,7 +58,7 @@
     this.pending.set(service, new Map([[owner, askedAtMs]]));
     setTimeout(
       () => void this.readAndRespond(service),
-      batchDelayMs(steadyMs()),
+      batchDelayMs(monotonicMs()),
     )
       .unref();
   }
