--- a/packages/daemon/src/backend_dispatcher.ts
+++ b/packages/daemon/src/backend_dispatcher.ts
@@ -147,10 +147,10 @@
       gate.leave(slot);
       return notRun("not_owner", "this daemon may not serve the key any more");
     }
-    session.releases.begin(assignment);
+    session.releases.beginRequest(assignment);
     const end = (tookMs?: number) => {
       gate.leave(slot, tookMs);
-      session.releases.finish(assignment);
+      session.releases.endRequest(assignment);
     };
     try {
       const response = await backend.connections.request(
--- a/packages/daemon/src/handover_runner.ts
+++ b/packages/daemon/src/handover_runner.ts
@@ -108,7 +108,7 @@
     const owned = this.ownedPartitions(service);
     const staying = new Set(candidates.map((candidate) => candidate.session));
     const { fleet } = this.context;
-    const leaving = new Set(
+    const draining = new Set(
       [...new Set(owned.map((partition) => partition.owner))].filter((id) => {
         const session = fleet.session(id);
         const drains = session?.draining === true ||
@@ -130,7 +130,7 @@
       owned.filter((partition) => !lost.includes(partition)),
       {
         candidates,
-        leaving,
+        draining,
         maximumMoves: Math.ceil(owned.length * MAXIMUM_CHURN),
       },
     );
--- a/packages/daemon/src/peer_service.ts
+++ b/packages/daemon/src/peer_service.ts
@@ -101,7 +101,7 @@
         }
         const released = request.assignments.filter((assignment) => {
           const id = { ...assignment, token: Number(assignment.token) };
-          session.releases.giveUp(id);
+          session.releases.startRelease(id);
           return session.releases.isReleased(id);
         });
         return create(ReleaseResponseSchema, { released });
--- a/packages/daemon/src/planner.ts
+++ b/packages/daemon/src/planner.ts
@@ -16,7 +16,7 @@
   type PartitionChange,
   rewriteShard,
   SuspicionLedger,
-  TakeoverBook,
+  TakeoverTracker,
 } from "@bamboolink/ownership";
 import {
   type FleetStatusResponse,
@@ -68,14 +68,14 @@
   private readonly firstSeenMs = new Map<string, number>();
   private readonly endedSinceMs = new Map<string, number>();
   private readonly stuckSinceMs = new Map<string, number>();
-  private takeovers: TakeoverBook;
+  private takeovers: TakeoverTracker;
   private handovers: HandoverRunner;
   private electedSession: string | undefined;
 
   private constructor(private readonly context: PlannerContext) {
     this.election = PlannerElection.create(context);
     this.round = Background.create(context.logger, "planner.round");
-    this.takeovers = TakeoverBook.create(context.timing);
+    this.takeovers = TakeoverTracker.create(context.timing);
     this.handovers = this.createHandovers();
   }
 
@@ -141,7 +141,7 @@
         report,
         ageMs: nowMs - atMs,
       })),
-      stuck: this.takeovers.stuck(),
+      stuck: this.takeovers.findStuck(),
     });
   }
 
@@ -152,7 +152,7 @@
 
   private startTerm(session: string): void {
     this.electedSession = session;
-    this.takeovers = TakeoverBook.create(this.context.timing);
+    this.takeovers = TakeoverTracker.create(this.context.timing);
     this.handovers = this.createHandovers();
     this.reports.clear();
     this.firstSeenMs.clear();
@@ -292,14 +292,14 @@
     if (answer.isOk() && answer.value.isWitness) {
       const nowMs = monotonicMs();
       answer.value.refusals.forEach(({ session, remainingMs }) =>
-        this.takeovers.noteRefusal(session, { witness, remainingMs, nowMs })
+        this.takeovers.recordRefusal(session, { witness, remainingMs, nowMs })
       );
     }
   }
 
   /** Tells operators once of each takeover that has lacked evidence for a while. */
   private reportStuck(nowMs: number): void {
-    const stuck = this.takeovers.stuck();
+    const stuck = this.takeovers.findStuck();
     [...this.stuckSinceMs.keys()].filter((id) => !stuck.includes(id)).forEach((
       id,
     ) => this.stuckSinceMs.delete(id));
--- a/packages/daemon/src/reporter.ts
+++ b/packages/daemon/src/reporter.ts
@@ -126,13 +126,13 @@
   }
 
   private reportSilent(nowMs: number, session: OwnSession): void {
-    session.ledger.noteStep(nowMs);
+    session.ledger.recordStep(nowMs);
     if (nowMs < this.nextSuspectMs) {
       return;
     }
     this.nextSuspectMs = nowMs + SUSPECT_EVERY_MS;
     const { fleet } = this.context;
-    const silent = session.ledger.findSilent(nowMs, SILENT_MS)
+    const silent = session.ledger.findUnresponsive(nowMs, SILENT_MS)
       .map((entry) => entry.session)
       .filter((id) =>
         fleet.session(id)?.state === "open" &&
--- a/packages/daemon/src/session_keeper.ts
+++ b/packages/daemon/src/session_keeper.ts
@@ -239,7 +239,7 @@
         this.nextConfirmMs = 0;
         break;
       case RenewResponse_Answer.NOT_PERMITTED:
-        session.lease.noteNotPermitted(witness, monotonicMs());
+        session.lease.recordNotPermitted(witness, monotonicMs());
         break;
       case RenewResponse_Answer.NOT_THE_WITNESS:
         this.gone.add(witness);
--- a/packages/ownership/src/end_evidence.ts
+++ b/packages/ownership/src/end_evidence.ts
@@ -7,7 +7,11 @@
  *
  * @module
  */
-import { type LeaseTiming, refusalsNeeded, waiterLength } from "./timing.ts";
+import {
+  type LeaseTiming,
+  refusalsNeeded,
+  waiterDurationMs,
+} from "./timing.ts";
 
 /** What is known of one sealed session. All times are on the planner's clock. */
 export interface SealedSession {
@@ -17,19 +21,19 @@
   /** When the planner knew that the record was sealed. */
   readonly sealedAtMs: number;
   /** By witness: when the last promise of one that refused has run out. */
-  readonly clearedAtMs: ReadonlyMap<string, number>;
+  readonly promiseEndsAtMs: ReadonlyMap<string, number>;
   /**
    * When somebody vouched that the process has ended: a new session that holds the same address on
    * the same host, or an operator.
    */
-  readonly vouchedAtMs: number | undefined;
+  readonly endConfirmedAtMs: number | undefined;
 }
 
 /** A session that an earlier takeover found to have ended. */
 export interface EndedSession {
   readonly id: string;
   /** When the planner knew of it. */
-  readonly knownAtMs: number;
+  readonly observedAtMs: number;
 }
 
 /**
@@ -45,9 +49,9 @@
   sealed: readonly SealedSession[],
   context: { ended: readonly EndedSession[]; timing: LeaseTiming },
 ): Map<string, number> {
-  const promiseMs = waiterLength(context.timing);
+  const promiseMs = waiterDurationMs(context.timing);
   const ends = new Map(
-    context.ended.map((session) => [session.id, session.knownAtMs]),
+    context.ended.map((session) => [session.id, session.observedAtMs]),
   );
   const sealedAt = new Map(
     sealed.map((session) => [session.id, session.sealedAtMs]),
@@ -61,13 +65,13 @@
     return Math.max(end, seal + promiseMs) + promiseMs;
   };
   const endOf = (session: SealedSession): number => {
-    const vouched = session.vouchedAtMs === undefined
+    const vouched = session.endConfirmedAtMs === undefined
       ? Infinity
-      : session.vouchedAtMs + promiseMs;
+      : session.endConfirmedAtMs + promiseMs;
     const silent = session.witnesses
       .map((witness) =>
         Math.min(
-          session.clearedAtMs.get(witness) ?? Infinity,
+          session.promiseEndsAtMs.get(witness) ?? Infinity,
           silentSince(witness),
         )
       )
--- a/packages/ownership/src/end_evidence_test.ts
+++ b/packages/ownership/src/end_evidence_test.ts
@@ -7,18 +7,18 @@
 import fc from "fast-check";
 import { findEndTimes, type SealedSession } from "./end_evidence.ts";
 import { LeaseHolder } from "./lease_holder.ts";
-import { DEFAULT_TIMING as timing, waiterLength } from "./timing.ts";
+import { DEFAULT_TIMING as timing, waiterDurationMs } from "./timing.ts";
 import { WitnessLedger } from "./witness_ledger.ts";
 
-const PROMISE_MS = waiterLength(timing);
+const PROMISE_MS = waiterDurationMs(timing);
 
 function sealed(id: string, options: Partial<SealedSession>): SealedSession {
   return {
     id,
     witnesses: [],
     sealedAtMs: 0,
-    clearedAtMs: new Map(),
-    vouchedAtMs: undefined,
+    promiseEndsAtMs: new Map(),
+    endConfirmedAtMs: undefined,
     ...options,
   };
 }
@@ -45,10 +45,10 @@
       lease.recordPromise("w", lastRenewalMs);
       const session = sealed("s", {
         witnesses: ["w", "x"],
-        clearedAtMs: new Map([["x", 0]]),
+        promiseEndsAtMs: new Map([["x", 0]]),
       });
       const ends = findEndTimes([session], {
-        ended: [{ id: "w", knownAtMs: sealedAtMs }],
+        ended: [{ id: "w", observedAtMs: sealedAtMs }],
         timing,
       });
       expect(ends.get("s")).to.be.at.least(lease.validUntil);
@@ -60,7 +60,7 @@
       ["a", "b", "c"].map((id, index, all) =>
         sealed(id, {
           witnesses: all.filter((other) => other !== id),
-          vouchedAtMs: index === 0 ? vouched : undefined,
+          endConfirmedAtMs: index === 0 ? vouched : undefined,
         })
       );
 
@@ -80,11 +80,11 @@
       // Two of five witnesses live; a third is lost too, but three others refuse that one.
       const lost = sealed("lost", {
         witnesses: ["d1", "d2", "l1", "l2", "d3"],
-        clearedAtMs: new Map([["l1", 100], ["l2", 200]]),
+        promiseEndsAtMs: new Map([["l1", 100], ["l2", 200]]),
       });
       const third = sealed("d3", {
         witnesses: ["l1", "l2", "l3"],
-        clearedAtMs: new Map([["l1", 50], ["l2", 80]]),
+        promiseEndsAtMs: new Map([["l1", 50], ["l2", 80]]),
       });
       const ends = findEndTimes([lost, third], { ended: [], timing });
       expect(ends.get("d3")).to.equal(80);
@@ -102,9 +102,15 @@
           }),
           sealedAtMs: fc.nat(100),
           cleared: fc.dictionary(fc.constantFrom(...names), fc.nat(1_000)),
-          vouchedAtMs: fc.option(fc.nat(1_000), { nil: undefined, freq: 3 }),
+          endConfirmedAtMs: fc.option(fc.nat(1_000), {
+            nil: undefined,
+            freq: 3,
+          }),
         }).map(({ cleared, ...rest }) =>
-          sealed(id, { ...rest, clearedAtMs: new Map(Object.entries(cleared)) })
+          sealed(id, {
+            ...rest,
+            promiseEndsAtMs: new Map(Object.entries(cleared)),
+          })
         );
       const property = fc.property(
         fc.tuple(...names.map(session)),
@@ -132,11 +138,14 @@
   };
   const endOf = (session: SealedSession) => {
     const times = session.witnesses.map((witness) =>
-      Math.min(session.clearedAtMs.get(witness) ?? Infinity, clearTime(witness))
+      Math.min(
+        session.promiseEndsAtMs.get(witness) ?? Infinity,
+        clearTime(witness),
+      )
     ).sort((left, right) => left - right);
     const needed = times.length - Math.ceil(times.length / 2) + 1;
     return Math.min(
-      (session.vouchedAtMs ?? Infinity) + PROMISE_MS,
+      (session.endConfirmedAtMs ?? Infinity) + PROMISE_MS,
       times[needed - 1] ?? Infinity,
     );
   };
--- a/packages/ownership/src/lease_holder.ts
+++ b/packages/ownership/src/lease_holder.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { holderLength, type LeaseTiming, quorumOf } from "./timing.ts";
+import { holderDurationMs, type LeaseTiming, quorumOf } from "./timing.ts";
 
 /**
  * First pause before a witness that could not promise is asked again, in milliseconds. It doubles up to the
@@ -64,7 +64,7 @@
   }
 
   /** Notes that a witness answered that it may not promise at the moment. */
-  noteNotPermitted(witness: string, nowMs: number): void {
+  recordNotPermitted(witness: string, nowMs: number): void {
     const pauseMs = (this.repeats.get(witness)?.pauseMs ??
       FIRST_REPEAT_MS / 2) * 2;
     this.repeats.set(witness, { pauseMs, dueAtMs: nowMs + pauseMs });
@@ -72,7 +72,7 @@
 
   /** Witnesses that are to be asked again. */
   dueRenewals(nowMs: number): string[] {
-    const due = nowMs - this.timing.renewEveryMs;
+    const due = nowMs - this.timing.renewIntervalMs;
     return this.witnesses.filter((witness) =>
       (this.lastSent.get(witness) ?? -Infinity) <= due ||
       (this.repeats.get(witness)?.dueAtMs ?? Infinity) <= nowMs
@@ -87,7 +87,7 @@
    */
   recordPromise(witness: string, sentAtMs: number): void {
     this.repeats.delete(witness);
-    const expiry = sentAtMs + holderLength(this.timing);
+    const expiry = sentAtMs + holderDurationMs(this.timing);
     this.expiries.set(
       witness,
       Math.max(expiry, this.expiries.get(witness) ?? -Infinity),
--- a/packages/ownership/src/mod.ts
+++ b/packages/ownership/src/mod.ts
@@ -16,9 +16,9 @@
   type LeaseTiming,
   quorumOf,
   refusalsNeeded,
-  waiterLength,
+  waiterDurationMs,
 } from "./timing.ts";
-export { type PromiseAnswer, WitnessLedger } from "./witness_ledger.ts";
+export { type PromiseResponse, WitnessLedger } from "./witness_ledger.ts";
 export { chooseWitnesses, reviewWitnesses } from "./witness_choice.ts";
 export {
   type EndedSession,
@@ -37,4 +37,4 @@
 } from "./assign_partitions.ts";
 export { type Move, type OwnedPartition, planMoves } from "./plan_moves.ts";
 export { rankWatchers } from "./watcher_choice.ts";
-export { TakeoverBook } from "./takeover_book.ts";
+export { TakeoverTracker } from "./takeover_tracker.ts";
--- a/packages/ownership/src/ownership_safety_test.ts
+++ b/packages/ownership/src/ownership_safety_test.ts
@@ -8,11 +8,11 @@
 import fc from "fast-check";
 import {
   type Fault,
-  OwnershipWorld,
+  SessionSimulation,
   type Step,
   STEP_KINDS,
   type StepKind,
-} from "./testing/ownership_world.ts";
+} from "./testing/session_simulation.ts";
 
 const SEED = 20_261_202;
 const RUNS = 1_500;
@@ -70,8 +70,8 @@
   ).map((parts) => parts.flat()),
 });
 
-function beginWorld(size: number, fault: Fault): OwnershipWorld {
-  const world = OwnershipWorld.create(size, fault);
+function beginWorld(size: number, fault: Fault): SessionSimulation {
+  const world = SessionSimulation.create(size, fault);
   world.heal(0.3);
   return world;
 }
--- a/packages/ownership/src/plan_moves.ts
+++ b/packages/ownership/src/plan_moves.ts
@@ -36,7 +36,7 @@
   partitions: readonly OwnedPartition[],
   context: {
     candidates: readonly Candidate[];
-    leaving: ReadonlySet<string>;
+    draining: ReadonlySet<string>;
     maximumMoves: number;
   },
 ): Move[] {
@@ -45,7 +45,7 @@
   }
   const balance = Balance.create(partitions, context.candidates);
   const forced = partitions
-    .filter((partition) => context.leaving.has(partition.owner))
+    .filter((partition) => context.draining.has(partition.owner))
     .sort((left, right) => right.load - left.load)
     .map((partition) => balance.move(partition, balance.leastLoaded()));
   return [...forced, ...planRebalancing(balance, context.maximumMoves)];
--- a/packages/ownership/src/release_ledger.ts
+++ b/packages/ownership/src/release_ledger.ts
@@ -27,7 +27,7 @@
   }
 
   /** Gives an assignment up: nothing is admitted under it any more. */
-  giveUp(assignment: AssignmentId): void {
+  startRelease(assignment: AssignmentId): void {
     const name = partitionName(assignment);
     this.given.set(name, Math.max(assignment.token, this.given.get(name) ?? 0));
   }
@@ -38,13 +38,13 @@
   }
 
   /** Notes that a request begins. */
-  begin(assignment: AssignmentId): void {
+  beginRequest(assignment: AssignmentId): void {
     const name = partitionName(assignment);
     this.running.set(name, (this.running.get(name) ?? 0) + 1);
   }
 
   /** Notes that a request ended, however it ended. */
-  finish(assignment: AssignmentId): void {
+  endRequest(assignment: AssignmentId): void {
     const name = partitionName(assignment);
     const left = (this.running.get(name) ?? 1) - 1;
     if (left > 0) {
--- a/packages/ownership/src/stall_recovery_test.ts
+++ b/packages/ownership/src/stall_recovery_test.ts
@@ -104,8 +104,8 @@
     session.lease.dueRenewals(this.now).forEach((witness) =>
       this.renew(index, witness)
     );
-    session.ledger.noteStep(this.now);
-    session.ledger.findSilent(this.now, SILENT_MS).forEach((silent) =>
+    session.ledger.recordStep(this.now);
+    session.ledger.findUnresponsive(this.now, SILENT_MS).forEach((silent) =>
       this.suspicions.push({
         witness: String(index),
         session: silent.session,
@@ -140,7 +140,7 @@
         if (answer === "promised") {
           lease.recordPromise(witness, sentAtMs);
         } else {
-          lease.noteNotPermitted(witness, this.now);
+          lease.recordNotPermitted(witness, this.now);
         }
       });
     });
@@ -164,7 +164,7 @@
     expect(world.validCount).to.equal(SESSIONS);
     world.stall(STALL_MS);
     expect(world.validCount).to.equal(0);
-    world.run(DEFAULT_TIMING.renewEveryMs / 2);
+    world.run(DEFAULT_TIMING.renewIntervalMs / 2);
     expect(world.validCount).to.equal(SESSIONS);
   });
 
@@ -208,7 +208,7 @@
     const world = new StallWorld();
     world.run(10_000, { storeIsUp: false });
     const regular = SESSIONS * WITNESSES *
-      (10_000 / DEFAULT_TIMING.renewEveryMs + 1);
+      (10_000 / DEFAULT_TIMING.renewIntervalMs + 1);
     expect(world.validCount).to.equal(0);
     expect(world.sentCount).to.be.within(
       1,
--- a/packages/ownership/src/takeover_book.ts
+++ b/packages/ownership/src/takeover_tracker.ts
@@ -6,26 +6,26 @@
 import type { SessionRecord } from "@bamboolink/types";
 import { TAKEOVER_CHART } from "./chart.ts";
 import { findEndTimes, type SealedSession } from "./end_evidence.ts";
-import { type LeaseTiming, waiterLength } from "./timing.ts";
+import { type LeaseTiming, waiterDurationMs } from "./timing.ts";
 
-interface Case {
+interface Takeover {
   readonly record: SessionRecord;
   readonly sealedAtMs: number;
-  readonly clearedAtMs: Map<string, number>;
-  vouchedAtMs: number | undefined;
+  readonly promiseEndsAtMs: Map<string, number>;
+  endConfirmedAtMs: number | undefined;
   state: string;
 }
 
 /** Takeovers of one planner. All times are on its monotonic clock. */
-export class TakeoverBook {
-  private readonly cases = new Map<string, Case>();
+export class TakeoverTracker {
+  private readonly cases = new Map<string, Takeover>();
   private readonly endedAtMs = new Map<string, number>();
 
   private constructor(private readonly timing: LeaseTiming) {}
 
   /** Creates a book without takeovers. */
-  static create(timing: LeaseTiming): TakeoverBook {
-    return new TakeoverBook(timing);
+  static create(timing: LeaseTiming): TakeoverTracker {
+    return new TakeoverTracker(timing);
   }
 
   /** Takes note of the session records: sealed ones become cases, ended ones become evidence. */
@@ -41,12 +41,12 @@
         const entry = known ?? {
           record,
           sealedAtMs: nowMs,
-          clearedAtMs: new Map(),
-          vouchedAtMs: undefined,
+          promiseEndsAtMs: new Map(),
+          endConfirmedAtMs: undefined,
           state: TAKEOVER_CHART.next(TAKEOVER_CHART.initial, "SEALED"),
         };
         if (replaced.has(record.id) || record.declared_lost) {
-          entry.vouchedAtMs ??= nowMs;
+          entry.endConfirmedAtMs ??= nowMs;
         }
         this.cases.set(record.id, entry);
       },
@@ -70,9 +70,9 @@
     const open = [...this.cases.values()].filter((entry) =>
       entry.state === "refusing" || entry.state === "stuck"
     );
-    const pairs = open.flatMap(({ record, clearedAtMs }) =>
+    const pairs = open.flatMap(({ record, promiseEndsAtMs }) =>
       record.witnesses
-        .filter((witness) => !clearedAtMs.has(witness))
+        .filter((witness) => !promiseEndsAtMs.has(witness))
         .map((witness) => ({ witness, session: record.id }))
     );
     return pairs.reduce(
@@ -83,13 +83,16 @@
   }
 
   /** Notes a refusal: from `remainingMs` after now on the witness's promise has certainly ended. */
-  noteRefusal(
+  recordRefusal(
     session: string,
     refusal: { witness: string; remainingMs: number; nowMs: number },
   ): void {
-    const clearedAtMs = refusal.nowMs +
-      waiterLength(this.timing, refusal.remainingMs);
-    this.cases.get(session)?.clearedAtMs.set(refusal.witness, clearedAtMs);
+    const promiseEndsAtMs = refusal.nowMs +
+      waiterDurationMs(this.timing, refusal.remainingMs);
+    this.cases.get(session)?.promiseEndsAtMs.set(
+      refusal.witness,
+      promiseEndsAtMs,
+    );
   }
 
   /** Steps all takeovers by the evidence so far. */
@@ -100,12 +103,12 @@
       id,
       witnesses: entry.record.witnesses,
       sealedAtMs: entry.sealedAtMs,
-      clearedAtMs: entry.clearedAtMs,
-      vouchedAtMs: entry.vouchedAtMs,
+      promiseEndsAtMs: entry.promiseEndsAtMs,
+      endConfirmedAtMs: entry.endConfirmedAtMs,
     }));
-    const ended = [...this.endedAtMs].map(([id, knownAtMs]) => ({
+    const ended = [...this.endedAtMs].map(([id, observedAtMs]) => ({
       id,
-      knownAtMs,
+      observedAtMs,
     }));
     const ends = findEndTimes(sealed, { ended, timing: this.timing });
     this.cases.forEach((entry, id) => {
@@ -142,7 +145,7 @@
   }
 
   /** Sessions whose takeover lacks evidence. */
-  stuck(): string[] {
+  findStuck(): string[] {
     return [...this.cases].filter(([, entry]) => entry.state === "stuck").map((
       [id],
     ) => id);
--- a/packages/ownership/src/takeover_book_test.ts
+++ b/packages/ownership/src/takeover_tracker_test.ts
@@ -5,7 +5,7 @@
  */
 import type { SessionRecord } from "@bamboolink/types";
 import { expect } from "chai";
-import { TakeoverBook } from "./takeover_book.ts";
+import { TakeoverTracker } from "./takeover_tracker.ts";
 import { DEFAULT_TIMING } from "./timing.ts";
 
 const LONGEST_WORK_MS = 5_000;
@@ -38,10 +38,10 @@
   record: SessionRecord,
   refusing: readonly string[],
 ): number | undefined {
-  const book = TakeoverBook.create(DEFAULT_TIMING);
+  const book = TakeoverTracker.create(DEFAULT_TIMING);
   book.observe([record], 0);
   refusing.forEach((witness) =>
-    book.noteRefusal("lost", { witness, remainingMs: 500, nowMs: 0 })
+    book.recordRefusal("lost", { witness, remainingMs: 500, nowMs: 0 })
   );
   const times = Array.from({ length: 1_000 }, (_, index) => index * 10);
   return times.find((nowMs) => {
@@ -57,13 +57,17 @@
     });
 
     it("is stuck with one refusal less, and goes on when it comes", () => {
-      const book = TakeoverBook.create(DEFAULT_TIMING);
+      const book = TakeoverTracker.create(DEFAULT_TIMING);
       book.observe([sealedRecord({})], 0);
-      book.noteRefusal("lost", { witness: "a", remainingMs: 0, nowMs: 0 });
+      book.recordRefusal("lost", { witness: "a", remainingMs: 0, nowMs: 0 });
       book.advance(60_000);
-      expect(book.stuck()).to.deep.equal(["lost"]);
+      expect(book.findStuck()).to.deep.equal(["lost"]);
       expect([...book.pendingRefusals().keys()]).to.deep.equal(["b", "c"]);
-      book.noteRefusal("lost", { witness: "b", remainingMs: 0, nowMs: 60_000 });
+      book.recordRefusal("lost", {
+        witness: "b",
+        remainingMs: 0,
+        nowMs: 60_000,
+      });
       book.advance(60_000);
       expect(book.mayReplace("lost")).to.equal(true);
     });
--- a/packages/ownership/src/testing/ownership_world.ts
+++ b/packages/ownership/src/testing/session_simulation.ts
@@ -7,7 +7,7 @@
  */
 import type { SessionRecord } from "@bamboolink/types";
 import { LeaseHolder } from "../lease_holder.ts";
-import { TakeoverBook } from "../takeover_book.ts";
+import { TakeoverTracker } from "../takeover_tracker.ts";
 import type { LeaseTiming } from "../timing.ts";
 import { WitnessLedger } from "../witness_ledger.ts";
 
@@ -56,7 +56,7 @@
 /** Kind of a step. */
 export type StepKind = typeof STEP_KINDS[number];
 
-interface WorldSession {
+interface SimulatedSession {
   readonly id: string;
   readonly lease: LeaseHolder;
   ledger: WitnessLedger;
@@ -71,11 +71,11 @@
   timerSaysValid: boolean;
 }
 
-interface WorldNode {
+interface SimulatedNode {
   readonly rate: number;
   readonly offset: number;
   paused: boolean;
-  session: WorldSession;
+  session: SimulatedSession;
 }
 
 interface Message {
@@ -95,24 +95,24 @@
 const REAL_DRIFT = 0.02;
 
 /** The world. */
-export class OwnershipWorld {
+export class SessionSimulation {
   private now = 0;
   private revision = 1;
   private nextId = 0;
-  private readonly nodes: WorldNode[];
+  private readonly nodes: SimulatedNode[];
   private readonly stored = new Map<string, StoredSession>();
   private messages: Message[] = [];
   private table: { owner: string | undefined; token: number } = {
     owner: undefined,
     token: 0,
   };
-  private readonly books: TakeoverBook[];
+  private readonly books: TakeoverTracker[];
   private readonly timing: LeaseTiming;
 
   private constructor(size: number, private readonly fault: Fault) {
     this.timing = {
       promiseMs: 1_000,
-      renewEveryMs: 250,
+      renewIntervalMs: 250,
       drift: fault === "ignores_drift" ? 0 : REAL_DRIFT,
     };
     this.nodes = Array.from({ length: size }, (_, index) => ({
@@ -125,20 +125,20 @@
       }),
     }));
     this.books = [
-      TakeoverBook.create(this.timing),
-      TakeoverBook.create(this.timing),
+      TakeoverTracker.create(this.timing),
+      TakeoverTracker.create(this.timing),
     ];
   }
 
   /** Creates a world in which every node is a witness of its neighbours and nobody owns anything. */
-  static create(size: number, fault: Fault): OwnershipWorld {
-    return new OwnershipWorld(size, fault);
+  static create(size: number, fault: Fault): SessionSimulation {
+    return new SessionSimulation(size, fault);
   }
 
   /** Makes one step. */
   step(step: Step): void {
     const index = step.a % this.nodes.length;
-    const node = this.nodes[index] as WorldNode;
+    const node = this.nodes[index] as SimulatedNode;
     const other = step.b % this.nodes.length;
     switch (step.kind) {
       case "advance":
@@ -181,7 +181,7 @@
         this.sealSession(
           step.b % 2 === 0
             ? this.table.owner ?? ""
-            : (this.nodes[other] as WorldNode).session.id,
+            : (this.nodes[other] as SimulatedNode).session.id,
         );
         break;
       case "ask_to_refuse":
@@ -252,18 +252,18 @@
     }
   }
 
-  private isValid(node: WorldNode): boolean {
+  private isValid(node: SimulatedNode): boolean {
     return this.fault === "timer_expiry"
       ? node.session.timerSaysValid
       : this.clock(node) < node.session.lease.validUntil;
   }
 
-  private runTimer(node: WorldNode): void {
+  private runTimer(node: SimulatedNode): void {
     node.session.timerSaysValid =
       this.clock(node) < node.session.lease.validUntil;
   }
 
-  private clock(node: WorldNode): number {
+  private clock(node: SimulatedNode): number {
     return node.offset + node.rate * this.now;
   }
 
@@ -277,7 +277,7 @@
   private makeSession(
     host: number,
     options: { witnesses: readonly string[]; replaces: readonly string[] },
-  ): WorldSession {
+  ): SimulatedSession {
     const id = `s${this.nextId}`;
     this.nextId += 1;
     this.revision += 1;
@@ -316,7 +316,7 @@
 
   private renewAll(index: number): void {
     const count =
-      (this.nodes[index] as WorldNode).session.lease.witnesses.length;
+      (this.nodes[index] as SimulatedNode).session.lease.witnesses.length;
     Array.from(
       { length: count },
       (_, witness) => this.sendRenewal(index, witness),
@@ -324,7 +324,7 @@
   }
 
   private sendRenewal(index: number, choice: number): void {
-    const node = this.nodes[index] as WorldNode;
+    const node = this.nodes[index] as SimulatedNode;
     const { session } = node;
     const names = session.lease.witnesses;
     const witness = names[choice % Math.max(1, names.length)];
@@ -349,7 +349,7 @@
   }
 
   private restart(index: number): void {
-    const node = this.nodes[index] as WorldNode;
+    const node = this.nodes[index] as SimulatedNode;
     if (this.fault === "forgetful_witness") {
       node.session.ledger = WitnessLedger.create(this.timing);
       return;
@@ -370,7 +370,7 @@
     index: number,
     options: { choice: number; lost: boolean },
   ): void {
-    const node = this.nodes[index] as WorldNode;
+    const node = this.nodes[index] as SimulatedNode;
     const { session } = node;
     if (node.paused) {
       return;
@@ -419,7 +419,7 @@
 
   /** Names all others, where a witness is not there any more. */
   private replaceWitnesses(index: number): void {
-    const { session } = this.nodes[index] as WorldNode;
+    const { session } = this.nodes[index] as SimulatedNode;
     const alive = this.nodes.map((node) => node.session.id);
     if (
       session.proposed.length > 0 ||
@@ -430,7 +430,7 @@
   }
 
   private confirmOpen(index: number): void {
-    const node = this.nodes[index] as WorldNode;
+    const node = this.nodes[index] as SimulatedNode;
     const { session } = node;
     if (node.paused) {
       return;
@@ -467,8 +467,8 @@
   /** The planner on a node asks all witnesses of all cases. */
   private askToRefuse(index: number): void {
     const planner = index % this.books.length;
-    const node = this.nodes[planner] as WorldNode;
-    const book = this.books[planner] as TakeoverBook;
+    const node = this.nodes[planner] as SimulatedNode;
+    const book = this.books[planner] as TakeoverTracker;
     if (node.paused) {
       return;
     }
@@ -483,7 +483,7 @@
           planner,
           () =>
             refusals.forEach(({ session, remainingMs }) =>
-              book.noteRefusal(session, {
+              book.recordRefusal(session, {
                 witness,
                 remainingMs: this.fault === "no_wait" ? 0 : remainingMs,
                 nowMs: this.clock(node),
@@ -494,7 +494,7 @@
     });
   }
 
-  private observe(book: TakeoverBook, node: WorldNode): void {
+  private observe(book: TakeoverTracker, node: SimulatedNode): void {
     const records = [...this.stored.values()].map(({ record }) => record);
     const nowMs = this.clock(node);
     const seen = this.fault === "no_seal"
@@ -513,8 +513,8 @@
   /** The planner on a node works through its book and assigns the partition if it may. */
   private plan(index: number, choice: number): void {
     const planner = index % this.books.length;
-    const node = this.nodes[planner] as WorldNode;
-    const book = this.books[planner] as TakeoverBook;
+    const node = this.nodes[planner] as SimulatedNode;
+    const book = this.books[planner] as TakeoverTracker;
     if (node.paused) {
       return;
     }
@@ -548,7 +548,7 @@
     }
   }
 
-  private assign(taker: WorldNode): void {
+  private assign(taker: SimulatedNode): void {
     this.table = { owner: taker.session.id, token: this.table.token + 1 };
     taker.session.tokens.add(this.table.token);
   }
@@ -574,13 +574,13 @@
       return;
     }
     this.send(holder, () => {
-      const { session } = this.nodes[holder] as WorldNode;
+      const { session } = this.nodes[holder] as SimulatedNode;
       if (session.id !== owner) {
         return;
       }
       session.tokens.delete(token);
       this.send(index, () => {
-        const taker = this.nodes[choice % this.nodes.length] as WorldNode;
+        const taker = this.nodes[choice % this.nodes.length] as SimulatedNode;
         const current = this.fault === "release_of_any_token" ||
           this.table.token === token;
         if (
@@ -593,7 +593,10 @@
   }
 
   /** A witness is named by session: one that restarted meanwhile is not the one that was asked. */
-  private sendToWitness(witness: string, run: (peer: WorldNode) => void): void {
+  private sendToWitness(
+    witness: string,
+    run: (peer: SimulatedNode) => void,
+  ): void {
     const target = this.nodes.findIndex(({ session }) =>
       session.id === witness
     );
@@ -601,7 +604,7 @@
       return;
     }
     this.send(target, () => {
-      const peer = this.nodes[target] as WorldNode;
+      const peer = this.nodes[target] as SimulatedNode;
       if (peer.session.id === witness) {
         run(peer);
       }
--- a/packages/ownership/src/timing.ts
+++ b/packages/ownership/src/timing.ts
@@ -9,7 +9,7 @@
   /** How long a witness's promise lasts, in milliseconds. */
   readonly promiseMs: number;
   /** How often a holder renews its promises, in milliseconds. */
-  readonly renewEveryMs: number;
+  readonly renewIntervalMs: number;
   /**
    * The most by which the rates of two monotonic clocks may differ. 0.01 means that one second on one
    * host lasts between 0.99 and 1.01 seconds on any other.
@@ -20,7 +20,7 @@
 /** The times used unless the settings say otherwise. */
 export const DEFAULT_TIMING: LeaseTiming = {
   promiseMs: 1_000,
-  renewEveryMs: 400,
+  renewIntervalMs: 400,
   drift: 0.01,
 };
 
@@ -38,12 +38,12 @@
 }
 
 /** How long the holder counts on a promise: shorter than it lasts, because its clock may be slow. */
-export function holderLength(timing: LeaseTiming): number {
+export function holderDurationMs(timing: LeaseTiming): number {
   return timing.promiseMs * (1 - timing.drift);
 }
 
 /** How long anybody else waits for a promise to end: longer, because the waiter's clock may be fast. */
-export function waiterLength(
+export function waiterDurationMs(
   timing: LeaseTiming,
   promiseMs: number = timing.promiseMs,
 ): number {
--- a/packages/ownership/src/witness_ledger.ts
+++ b/packages/ownership/src/witness_ledger.ts
@@ -3,10 +3,10 @@
  *
  * @module
  */
-import { type LeaseTiming, waiterLength } from "./timing.ts";
+import { type LeaseTiming, waiterDurationMs } from "./timing.ts";
 
 /** A witness's answer to a renewal. */
-export type PromiseAnswer = "promised" | "refused" | "not_permitted";
+export type PromiseResponse = "promised" | "refused" | "not_permitted";
 
 /** What one session promised to others. It lives and dies with the session: a restart forgets it. */
 export class WitnessLedger {
@@ -46,8 +46,8 @@
    * it witnesses for may have been paused with it. It listens for a whole promise before it calls anybody
    * silent. What goes wrong otherwise: a machine that stands still for 1.2 s has all its daemons taken over.
    */
-  noteStep(nowMs: number): void {
-    if (nowMs - this.lastStepMs > this.timing.renewEveryMs) {
+  recordStep(nowMs: number): void {
+    if (nowMs - this.lastStepMs > this.timing.renewIntervalMs) {
       this.listeningSinceMs = nowMs;
     }
     this.lastStepMs = nowMs;
@@ -63,14 +63,14 @@
   renew(
     holder: string,
     at: { nowMs: number; validUntilMs: number },
-  ): PromiseAnswer {
+  ): PromiseResponse {
     if (this.refused.has(holder)) {
       return "refused";
     }
     if (at.nowMs >= Math.max(at.validUntilMs, this.confirmedUntil)) {
       return "not_permitted";
     }
-    this.promisedUntil.set(holder, at.nowMs + waiterLength(this.timing));
+    this.promisedUntil.set(holder, at.nowMs + waiterDurationMs(this.timing));
     return "promised";
   }
 
@@ -90,11 +90,11 @@
   }
 
   /** Sessions whose promises have run out for at least `silentMs`, with how long ago; none soon after a pause. */
-  findSilent(
+  findUnresponsive(
     nowMs: number,
     silentMs: number,
   ): { session: string; silentMs: number }[] {
-    if (nowMs - this.listeningSinceMs < waiterLength(this.timing)) {
+    if (nowMs - this.listeningSinceMs < waiterDurationMs(this.timing)) {
       return [];
     }
     return [...this.promisedUntil.entries()]
--- a/scripts/bench/capacity.mjs
+++ b/scripts/bench/capacity.mjs
@@ -234,7 +234,7 @@
     () =>
       planMoves(owned, {
         candidates,
-        leaving: new Set(),
+        draining: new Set(),
         maximumMoves: Math.ceil(partitions / 100),
       }),
     1,
@@ -243,14 +243,14 @@
     id: session.id,
     witnesses: session.witnesses,
     sealedAtMs: 0,
-    clearedAtMs: new Map(
+    promiseEndsAtMs: new Map(
       session.witnesses.filter((witness) => !lost.has(witness)).map((
         witness,
       ) => [witness, 1_000]),
     ),
-    vouchedAtMs: undefined,
+    endConfirmedAtMs: undefined,
   }));
-  const timing = { promiseMs: 1_000, renewEveryMs: 400, drift: 0.01 };
+  const timing = { promiseMs: 1_000, renewIntervalMs: 400, drift: 0.01 };
   const evidenceMs = time(() => findEndTimes(sealed, { ended: [], timing }), 1);
   return [
     size,
