--- a/packages/configuration/src/apply.ts
+++ b/packages/configuration/src/apply.ts
@@ -1,5 +1,5 @@
 /**
- * Puts a new document on top of a configuration record.
+ * Applies a new document to the configuration record as its next version.
  *
  * @module
  */
@@ -12,22 +12,23 @@
 import { err, ok, type Result } from "neverthrow";
 import { compareDocuments } from "./compare.ts";
 
-/** How many earlier versions the record keeps. */
+/** Maximum number of earlier versions that the record keeps. */
 export const HISTORY_LIMIT = 20;
-/** Earlier versions are dropped beyond this size, so that the record stays below the store's limit. */
-const HISTORY_BYTES = 500_000;
+/** Maximum size of the earlier versions, in characters of JSON; it keeps the record below the store's size limit. */
+const MAX_HISTORY_CHARACTERS = 500_000;
 
 /**
  * Applies a document to the record that is in the store.
  *
- * @param record what is in the store, `undefined` where there is nothing yet.
- * @returns the record to write, or `conflict` with what changed since `expectedVersion`.
+ * @param record the record in the store, `undefined` if there is none yet.
+ * @returns the record to write; `conflict` with the changes since `expectedVersion` if another version is in force;
+ *   `invalid` if the document changes the number of partitions of a service.
  */
 export function applyDocument(
   record: ConfigurationRecord | undefined,
   change: {
     document: ConfigurationDocument;
-    /** The version that the operator started from; 0 for none. */
+    /** The version that the operator's change is based on; 0 for none. */
     expectedVersion: number;
     author: string;
     note: string;
@@ -37,12 +38,17 @@
 ): Result<ConfigurationRecord, BamboolinkError> {
   const version = record?.current.version ?? 0;
   if (version !== change.expectedVersion) {
-    return err(describeRace(record, change.expectedVersion));
+    return err(createConflict(record, change.expectedVersion));
   }
-  const fixed = findFixedChange(record?.current.document, change.document);
-  if (fixed !== undefined) {
+  const problem = findPartitionChange(
+    record?.current.document,
+    change.document,
+  );
+  if (problem !== undefined) {
     return err(
-      BamboolinkError.create("invalid", fixed, { step: "configuration.apply" }),
+      BamboolinkError.create("invalid", problem, {
+        step: "configuration.apply",
+      }),
     );
   }
   const current: ConfigurationVersion = {
@@ -56,10 +62,10 @@
   const history = record === undefined
     ? []
     : [record.current, ...record.history];
-  return ok({ current, history: boundHistory(history) });
+  return ok({ current, history: truncateHistory(history) });
 }
 
-function boundHistory(
+function truncateHistory(
   history: readonly ConfigurationVersion[],
 ): ConfigurationVersion[] {
   const sizes = history.map((version) => JSON.stringify(version).length);
@@ -67,11 +73,11 @@
     .slice(0, HISTORY_LIMIT)
     .filter((_, index) =>
       sizes.slice(0, index + 1).reduce((sum, size) => sum + size, 0) <=
-        HISTORY_BYTES
+        MAX_HISTORY_CHARACTERS
     );
 }
 
-function findFixedChange(
+function findPartitionChange(
   before: ConfigurationDocument | undefined,
   after: ConfigurationDocument,
 ): string | undefined {
@@ -83,10 +89,10 @@
   });
   return changed === undefined
     ? undefined
-    : `services.${changed.name}.partitions: expected ${changed.partitions}; it can't change while the service exists`;
+    : `services.${changed.name}.partitions: expected ${changed.partitions}; the number of partitions can't change while the service exists`;
 }
 
-function describeRace(
+function createConflict(
   record: ConfigurationRecord | undefined,
   expected: number,
 ): BamboolinkError {
@@ -101,13 +107,13 @@
     : compareDocuments(base.document, current.document).map((change) =>
       change.path
     );
-  const by = current === undefined ? "" : ` by ${current.author}`;
-  const what = changes.length === 0
+  const authorText = current === undefined ? "" : ` by ${current.author}`;
+  const changesText = changes.length === 0
     ? ""
     : `; changed since version ${expected}: ${changes.join(", ")}`;
   const message = `version ${
     current?.version ?? 0
-  } is in force${by}, not version ${expected}${what}`;
+  } is in force${authorText}, not version ${expected}${changesText}`;
   return BamboolinkError.create("conflict", message, {
     step: "configuration.apply",
   });
--- a/packages/configuration/src/compare.ts
+++ b/packages/configuration/src/compare.ts
@@ -1,20 +1,20 @@
 /**
- * The difference between two configuration documents, for people.
+ * Computes the differences between two configuration documents, for display.
  *
  * @module
  */
 
-/** One difference. */
+/** One difference between two documents. */
 export interface Change {
-  /** Where it is, for example `services.quotes.queue.length`; named entries go by their name. */
+  /** Path of the value, for example `services.quotes.queue.length`; list entries with a name are identified by it. */
   readonly path: string;
-  /** The value before; `undefined` where it was added. */
+  /** The value before; `undefined` if it was added. */
   readonly before: unknown;
-  /** The value after; `undefined` where it was removed. */
+  /** The value after; `undefined` if it was removed. */
   readonly after: unknown;
 }
 
-/** Lists the differences between two documents, in the order of their paths. */
+/** Returns the differences between two documents, ordered by path. */
 export function compareDocuments(before: unknown, after: unknown): Change[] {
   return compareValues("", { before, after });
 }
@@ -38,7 +38,10 @@
   );
 }
 
-/** Objects by property; lists of named entries by name, so that an insertion isn't a rewrite. */
+/**
+ * Returns the entries of an object by property and those of a list by name, so that an insertion into a list is one
+ * difference; `undefined` for other values and for lists with entries that have no name.
+ */
 function asEntries(value: unknown): Map<string, unknown> | undefined {
   if (Array.isArray(value)) {
     const named = value.every((entry) =>
--- a/packages/configuration/src/mod.ts
+++ b/packages/configuration/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Validates, compares and versions the one configuration document.
+ * Validates, compares and versions the configuration document.
  *
  * @module
  */
--- a/packages/configuration/src/validate.ts
+++ b/packages/configuration/src/validate.ts
@@ -1,23 +1,24 @@
 /**
- * Validation of a configuration document: shape by the schema, then what a schema can't say.
+ * Validates a configuration document: first against the schema, then the rules that a schema can't express.
  *
  * @module
  */
 import { ConfigurationDocument, type Service } from "@bamboolink/types";
 import { err, ok, type Result } from "neverthrow";
 
-/** One thing that is wrong with a document. */
+/** One error in a document. */
 export interface Problem {
-  /** Where it is, for example `services[0].operations[2].key`. */
+  /** Path of the value, for example `services[0].operations[2].key`. */
   readonly path: string;
-  /** What was expected and what was found. */
+  /** The expected and the actual value. */
   readonly message: string;
 }
 
 /**
- * Validates a document. It is accepted whole, or refused with every problem that was found.
+ * Validates a document.
  *
  * @param document any value, as parsed from JSON.
+ * @returns the document; or all schema errors; or, if the document matches the schema, all other problems.
  */
 export function validateDocument(
   document: unknown,
@@ -33,7 +34,7 @@
   return problems.length === 0 ? ok(parsed.data) : err(problems);
 }
 
-/** Parses and validates the text of a document; a text that is not JSON is one problem. */
+/** Parses and validates the text of a document; text that is not JSON is reported as one problem. */
 export function parseDocument(
   text: string,
 ): Result<ConfigurationDocument, readonly Problem[]> {
@@ -57,29 +58,29 @@
   return [
     ...findDuplicates(zones, {
       path: "availability_zones",
-      what: "availability zone",
+      noun: "availability zone",
     }),
     ...findDuplicates(document.services.map((service) => service.name), {
       path: "services",
-      what: "service",
+      noun: "service",
     }),
     ...document.services.flatMap((service, index) =>
       findServiceProblems(service, { index, zones })
     ),
-    ...findSharedRoutes(document),
+    ...findDuplicateRoutes(document),
   ];
 }
 
 function findDuplicates(
   names: readonly string[],
-  at: { path: string; what: string },
+  context: { path: string; noun: string },
 ): Problem[] {
   return names.flatMap((name, index) => {
     const first = names.indexOf(name);
     const message =
-      `expected each ${at.what} once; '${name}' stands already at ${at.path}[${first}]`;
+      `expected each ${context.noun} once; '${name}' is already defined at ${context.path}[${first}]`;
     return first < index
-      ? [{ path: `${at.path}[${index}].name`, message }]
+      ? [{ path: `${context.path}[${index}].name`, message }]
       : [];
   });
 }
@@ -98,9 +99,9 @@
   const operations = service.operations.map((operation) => operation.name);
   const keyProblems = service.operations.flatMap((operation, index) => {
     const key = operation.key;
-    const missing = key.from === "path" &&
+    const isMissing = key.from === "path" &&
       !pathParameters(operation.path).includes(key.parameter);
-    return missing
+    return isMissing
       ? [{
         path: `${path}.operations[${index}].key.parameter`,
         message:
@@ -112,7 +113,7 @@
     ...unknownZones,
     ...findDuplicates(operations, {
       path: `${path}.operations`,
-      what: "operation",
+      noun: "operation",
     }),
     ...keyProblems,
   ];
@@ -124,8 +125,8 @@
   );
 }
 
-/** Two operations with the same method and path would leave it open which service a request is for. */
-function findSharedRoutes(document: ConfigurationDocument): Problem[] {
+/** Reports operations with the same method and path, because the service of a request would be ambiguous. */
+function findDuplicateRoutes(document: ConfigurationDocument): Problem[] {
   const routes = document.services.flatMap((service, serviceIndex) =>
     service.operations.map((operation, index) => ({
       route: `${operation.method} ${operation.path.replace(/:\w+/g, ":")}`,
@@ -135,7 +136,7 @@
   return routes.flatMap((route, index) => {
     const first = routes.findIndex((other) => other.route === route.route);
     const message =
-      `expected each method and path once; the same route stands at ${
+      `expected each method and path once; the same route is defined at ${
         routes[first]?.path
       }`;
     return first < index ? [{ path: route.path, message }] : [];
--- a/packages/ownership/src/assign_partitions.ts
+++ b/packages/ownership/src/assign_partitions.ts
@@ -1,6 +1,6 @@
 /**
- * Gives partitions without a living owner to the candidates that hold the least, and rewrites the
- * shards of the table.
+ * Assigns partitions without an alive owner to the candidates with the fewest partitions for their capacity, and
+ * rewrites the shards of the ownership table.
  *
  * @module
  */
@@ -13,10 +13,10 @@
 } from "@bamboolink/types";
 import TinyQueue from "tinyqueue";
 
-/** A session that may be given partitions. */
+/** A session to which partitions may be assigned. */
 export interface Candidate {
   readonly session: string;
-  /** Its share of the load in relation to others, usually its slots. */
+  /** Capacity relative to that of other candidates, typically the number of slots. */
   readonly capacity: number;
 }
 
@@ -26,7 +26,7 @@
   readonly owner: string;
 }
 
-/** Creates the empty shards of a service; version 0 marks them as not written yet. */
+/** Creates the empty shards of a service with `partitions` partitions; version 0 means not written yet. */
 export function createShards(
   service: string,
   partitions: number,
@@ -50,7 +50,7 @@
   );
 }
 
-/** The owner of each partition of a shard, `undefined` where there is none. */
+/** Returns the owning session of each partition of a shard, `undefined` for partitions without one. */
 export function ownersOf(shard: TableShard): (string | undefined)[] {
   return shard.owners.map((owner) => shard.sessions[owner]);
 }
@@ -59,7 +59,8 @@
  * Assigns the partitions that need an owner.
  *
  * @param shards all shards of one service.
- * @param mayReplace whether the named session's partitions may be given to others; it has ended.
+ * @param context.mayReplace whether a session has ended, so that its partitions may be assigned to others.
+ * @returns the changes; none if there are no candidates.
  */
 export function assignPartitions(
   shards: readonly TableShard[],
@@ -77,7 +78,7 @@
       partition: shard.first + index,
     }))
   );
-  const orphans = owned.filter(({ owner }) =>
+  const unowned = owned.filter(({ owner }) =>
     owner === undefined || context.mayReplace(owner)
   );
   const held = new Map(
@@ -97,22 +98,24 @@
     (left, right) =>
       (left.held + 1) / left.capacity - (right.held + 1) / right.capacity,
   );
-  return orphans.map(({ partition }) => {
-    const taker = queue.pop() as HeldCandidate;
-    queue.push({ ...taker, held: taker.held + 1 });
-    return { partition, owner: taker.session };
+  return unowned.map(({ partition }) => {
+    const recipient = queue.pop() as LoadedCandidate;
+    queue.push({ ...recipient, held: recipient.held + 1 });
+    return { partition, owner: recipient.session };
   });
 }
 
-interface HeldCandidate extends Candidate {
+interface LoadedCandidate extends Candidate {
   readonly held: number;
 }
 
 /**
- * Rewrites one shard with new owners. The shard's version grows by one and becomes the fencing token
- * of what changed, so a token of a partition only ever grows.
+ * Rewrites one shard with new owners. The version of the shard increases by one and becomes the fencing token of
+ * each partition that changed, so the tokens of a partition are monotonic.
  *
- * @returns the shard to write, or `undefined` where nothing in it changes.
+ * @param change.changes changes of the service; those in other shards are ignored.
+ * @param change.nowMs time recorded with the change, in milliseconds.
+ * @returns the shard to write, or `undefined` if none of its partitions changes.
  */
 export function rewriteShard(
   shard: TableShard,
@@ -123,20 +126,22 @@
   },
 ): TableShard | undefined {
   const end = shard.first + shard.owners.length;
-  const own = new Map(
+  const newOwners = new Map(
     change.changes
       .filter(({ partition }) => partition >= shard.first && partition < end)
       .map(({ partition, owner }) => [partition - shard.first, owner]),
   );
-  if (own.size === 0) {
+  if (newOwners.size === 0) {
     return undefined;
   }
   const version = shard.version + 1;
-  const names = ownersOf(shard).map((owner, index) => own.get(index) ?? owner);
+  const names = ownersOf(shard).map((owner, index) =>
+    newOwners.get(index) ?? owner
+  );
   const sessions = [...new Set(names.filter((name) => name !== undefined))];
   const positions = new Map(sessions.map((session, index) => [session, index]));
   const tokens = shard.tokens.map((token, index) =>
-    own.has(index) ? version : token
+    newOwners.has(index) ? version : token
   );
   const entry: ShardChange = {
     version,
@@ -146,7 +151,7 @@
   return {
     ...shard,
     version,
-    changes: boundChanges([entry, ...shard.changes], tokens),
+    changes: pruneChanges([entry, ...shard.changes], tokens),
     sessions,
     owners: names.map((name) =>
       name === undefined ? NO_OWNER : positions.get(name) as number
@@ -155,13 +160,13 @@
   };
 }
 
-/** Keeps what still explains an assignment before what does not, and the newest before the older. */
-function boundChanges(
+/** Keeps the newest change and, newest first, those that are the cause of a current assignment, up to the limit. */
+function pruneChanges(
   changes: readonly ShardChange[],
   tokens: readonly number[],
 ): ShardChange[] {
-  const deciding = new Set(tokens);
+  const currentTokens = new Set(tokens);
   return changes
-    .filter((change, index) => index === 0 || deciding.has(change.version))
+    .filter((change, index) => index === 0 || currentTokens.has(change.version))
     .slice(0, MAXIMUM_CHANGES);
 }
--- a/packages/ownership/src/chart.ts
+++ b/packages/ownership/src/chart.ts
@@ -1,6 +1,6 @@
 /**
- * Interprets the state charts in `charts/`. The files are the single source of which step may follow
- * which; the docs draw them from the same files.
+ * Interprets the state charts in `charts/`. These files alone define which transitions are allowed; the diagrams
+ * in the documentation are generated from them.
  *
  * @module
  */
@@ -12,25 +12,25 @@
   transition,
 } from "xstate";
 
-/** A state chart that is read from a file and stepped without side effects. */
+/** A state chart read from a file. Computing a transition has no side effects. */
 export class Chart {
-  /** The charts have no context, so a step depends on state and event alone and is worked out once. */
+  /** Computed transitions. The charts have no context, so the next state depends on state and event only. */
   private readonly steps = new Map<string, string>();
 
   private constructor(private readonly machine: AnyStateMachine) {}
 
-  /** Reads a chart from `charts/NAME.json`. */
+  /** Reads a chart from `charts/NAME.json`; throws if the file is missing or invalid. */
   static create(name: string): Chart {
     const file = new URL(`../charts/${name}.json`, import.meta.url);
     return new Chart(createMachine(JSON.parse(readFileSync(file, "utf8"))));
   }
 
-  /** The state in which the chart begins. */
+  /** The initial state of the chart. */
   get initial(): string {
     return String(initialTransition(this.machine)[0].value);
   }
 
-  /** The state after an event; an event that the state does not know leaves it as it is. */
+  /** Returns the state after an event; an event without a transition from `state` leaves it unchanged. */
   next(state: string, event: string): string {
     const name = `${state} ${event}`;
     const known = this.steps.get(name) ?? this.interpret(state, event);
@@ -44,9 +44,9 @@
   }
 }
 
-/** Life of one session in its own daemon. */
+/** States of a session in its own daemon. */
 export const SESSION_CHART = Chart.create("session");
-/** Takeover of one session by the planner. */
+/** States of the takeover of a session by the planner. */
 export const TAKEOVER_CHART = Chart.create("takeover");
-/** Planned handover of partitions by the planner. */
+/** States of a planned handover of partitions by the planner. */
 export const HANDOVER_CHART = Chart.create("handover");
--- a/packages/ownership/src/end_evidence.ts
+++ b/packages/ownership/src/end_evidence.ts
@@ -1,9 +1,9 @@
 /**
- * Works out from evidence when a sealed session has certainly ended.
+ * Computes from evidence when a sealed session has certainly ended.
  *
- * A session ends once so many of its witnesses can't promise for it any more that no quorum is left.
- * A witness can't promise any more once it refused and its last promise ran out, or once it has ended
- * itself. The second kind of evidence lets a takeover succeed that would otherwise wait for the dead.
+ * A session has ended once too few of its witnesses can still hold a promise to it for a quorum. A witness no
+ * longer holds one after it has refused and its last promise has expired, or after its own session has ended. The
+ * second case lets a takeover finish that would otherwise wait for a witness that has itself failed.
  *
  * @module
  */
@@ -13,37 +13,37 @@
   waiterDurationMs,
 } from "./timing.ts";
 
-/** What is known of one sealed session. All times are on the planner's clock. */
+/** Evidence about one sealed session. All times are in milliseconds of the planner's clock. */
 export interface SealedSession {
   readonly id: string;
-  /** The witnesses in its sealed record; sealing makes them final. */
+  /** The witnesses in its sealed record, which can no longer change. */
   readonly witnesses: readonly string[];
-  /** When the planner knew that the record was sealed. */
+  /** When the planner observed that the record was sealed. */
   readonly sealedAtMs: number;
-  /** By witness: when the last promise of one that refused has run out. */
+  /** For each witness that has refused, when its last promise expires. */
   readonly promiseEndsAtMs: ReadonlyMap<string, number>;
   /**
-   * When somebody vouched that the process has ended: a new session that holds the same address on
-   * the same host, or an operator.
+   * When the end of the process was confirmed, either by a new session with the same address on the same host or
+   * by an operator; `undefined` if it was not.
    */
   readonly endConfirmedAtMs: number | undefined;
 }
 
-/** A session that an earlier takeover found to have ended. */
+/** A session that is recorded as ended by an earlier takeover. */
 export interface EndedSession {
   readonly id: string;
-  /** When the planner knew of it. */
+  /** When the planner observed the record, in milliseconds of its clock. */
   readonly observedAtMs: number;
 }
 
 /**
  * Finds when each sealed session ends.
  *
- * It begins with no session ended and adds what follows until nothing new does. Evidence therefore
- * rests on live refusals, vouchers or earlier ends, never on a circle of sessions that would each
- * have ended only because the others have.
+ * Computes a least fixed point: it starts from the sessions already ended and adds the ends that follow until no
+ * new one does. Each end therefore rests on refusals of alive witnesses, confirmed ends or earlier takeovers, never
+ * on a cycle of sessions that would each have ended only because the others have.
  *
- * @returns by session the time at which it has ended; sessions without enough evidence are absent.
+ * @returns the time at which each session has ended, in milliseconds; sessions without enough evidence are absent.
  */
 export function findEndTimes(
   sealed: readonly SealedSession[],
@@ -56,32 +56,32 @@
   const sealedAt = new Map(
     sealed.map((session) => [session.id, session.sealedAtMs]),
   );
-  const silentSince = (witness: string): number => {
+  const allPromisesEndAtMs = (witness: string): number => {
     const end = ends.get(witness) ?? Infinity;
-    // A reading of its open record may have permitted the witness to promise until one length after
-    // its seal, and what it promised last holds for one length more. Where the seal was not seen, it
-    // was before the end.
+    // A read of its open record may have permitted the witness to promise until one promise duration after its
+    // seal, and its last promise is valid for one more duration. A seal that the planner did not observe was
+    // before the end.
     const seal = sealedAt.get(witness) ?? end;
     return Math.max(end, seal + promiseMs) + promiseMs;
   };
   const endOf = (session: SealedSession): number => {
-    const vouched = session.endConfirmedAtMs === undefined
+    const confirmedEndAtMs = session.endConfirmedAtMs === undefined
       ? Infinity
       : session.endConfirmedAtMs + promiseMs;
-    const silent = session.witnesses
+    const witnessEndTimes = session.witnesses
       .map((witness) =>
         Math.min(
           session.promiseEndsAtMs.get(witness) ?? Infinity,
-          silentSince(witness),
+          allPromisesEndAtMs(witness),
         )
       )
       .sort((left, right) => left - right);
     return Math.min(
-      vouched,
-      silent[refusalsNeeded(silent.length) - 1] ?? Infinity,
+      confirmedEndAtMs,
+      witnessEndTimes[refusalsNeeded(witnessEndTimes.length) - 1] ?? Infinity,
     );
   };
-  // Each round settles at least one more session or is the last.
+  // Each round finds the end of at least one more session, or no later round changes anything.
   sealed.forEach(() => {
     sealed
       .map((session) => ({ id: session.id, end: endOf(session) }))
--- a/packages/ownership/src/lease_holder.ts
+++ b/packages/ownership/src/lease_holder.ts
@@ -1,27 +1,27 @@
 /**
- * The holder's side of a lease: which promises it has and until when it may serve.
+ * The holder's side of a lease: its promises, and the time until which they permit it to serve.
  *
  * @module
  */
 import { holderDurationMs, type LeaseTiming, quorumOf } from "./timing.ts";
 
 /**
- * First pause before a witness that could not promise is asked again, in milliseconds. It doubles up to the
- * regular renewal: after a stall of many daemons the witnesses can promise within tens of milliseconds, and
- * a witness that is cut off costs three renewals more.
+ * Delay before the first retry at a witness that was not permitted to promise, in milliseconds. It doubles up to
+ * the regular renewal interval: after a stall of many daemons the witnesses can promise again within tens of
+ * milliseconds, and a witness that is partitioned from the network costs only three additional renewals.
  */
-const FIRST_REPEAT_MS = 50;
+const INITIAL_RETRY_DELAY_MS = 50;
 
-/** Promises that one session holds from its witnesses. */
+/** Promises that one session has from its witnesses. All times are in milliseconds of the holder's clock. */
 export class LeaseHolder {
-  private readonly expiries = new Map<string, number>();
-  private readonly lastSent = new Map<string, number>();
-  private readonly repeats = new Map<
+  private readonly expiresAtMs = new Map<string, number>();
+  private readonly lastSentAtMs = new Map<string, number>();
+  private readonly retries = new Map<
     string,
-    { pauseMs: number; dueAtMs: number }
+    { delayMs: number; dueAtMs: number }
   >();
-  private sets: readonly (readonly string[])[] = [[]];
-  private until = Infinity;
+  private witnessSets: readonly (readonly string[])[] = [[]];
+  private validUntilMs = Infinity;
 
   private constructor(private readonly timing: LeaseTiming) {}
 
@@ -31,101 +31,101 @@
   }
 
   /**
-   * Names the witnesses that count.
+   * Sets the witnesses whose promises count, and drops the promises of all others.
    *
-   * @param sets one set; or two while the store has not yet answered a change of witnesses. The change
-   *   may or may not have taken effect, and a takeover asks only the set in the record, so a quorum of
-   *   each is needed until it is known which set that is.
+   * @param sets one set, or several while the store has not responded to a change of witnesses. The change may or
+   *   may not have taken effect, and a takeover asks only the set in the record, so a quorum of each set is needed
+   *   until it is known which one that is.
    */
   setWitnesses(...sets: readonly (readonly string[])[]): void {
-    this.sets = sets;
+    this.witnessSets = sets;
     const named = new Set(sets.flat());
-    [...this.expiries.keys()]
+    [...this.expiresAtMs.keys()]
       .filter((witness) => !named.has(witness))
-      .forEach((witness) => this.expiries.delete(witness));
-    [...this.repeats.keys()]
+      .forEach((witness) => this.expiresAtMs.delete(witness));
+    [...this.retries.keys()]
       .filter((witness) => !named.has(witness))
-      .forEach((witness) => this.repeats.delete(witness));
-    this.until = this.computeValidUntil();
+      .forEach((witness) => this.retries.delete(witness));
+    this.validUntilMs = this.computeValidUntil();
   }
 
-  /** All witnesses that are asked for promises. */
+  /** All witnesses to which renewals are sent. */
   get witnesses(): string[] {
-    return [...new Set(this.sets.flat())];
+    return [...new Set(this.witnessSets.flat())];
   }
 
-  /** Notes that a renewal is being sent. */
+  /** Records that a renewal is being sent. */
   markSent(witness: string, sentAtMs: number): void {
-    this.lastSent.set(witness, sentAtMs);
-    const repeat = this.repeats.get(witness);
-    if (repeat !== undefined) {
-      this.repeats.set(witness, { ...repeat, dueAtMs: Infinity });
+    this.lastSentAtMs.set(witness, sentAtMs);
+    const retry = this.retries.get(witness);
+    if (retry !== undefined) {
+      this.retries.set(witness, { ...retry, dueAtMs: Infinity });
     }
   }
 
-  /** Notes that a witness answered that it may not promise at the moment. */
+  /** Records that a witness is not permitted to promise at present, and schedules a retry with exponential backoff. */
   recordNotPermitted(witness: string, nowMs: number): void {
-    const pauseMs = (this.repeats.get(witness)?.pauseMs ??
-      FIRST_REPEAT_MS / 2) * 2;
-    this.repeats.set(witness, { pauseMs, dueAtMs: nowMs + pauseMs });
+    const delayMs = (this.retries.get(witness)?.delayMs ??
+      INITIAL_RETRY_DELAY_MS / 2) * 2;
+    this.retries.set(witness, { delayMs, dueAtMs: nowMs + delayMs });
   }
 
-  /** Witnesses that are to be asked again. */
+  /** Returns the witnesses whose renewal or retry is due. */
   dueRenewals(nowMs: number): string[] {
-    const due = nowMs - this.timing.renewIntervalMs;
+    const dueBeforeMs = nowMs - this.timing.renewIntervalMs;
     return this.witnesses.filter((witness) =>
-      (this.lastSent.get(witness) ?? -Infinity) <= due ||
-      (this.repeats.get(witness)?.dueAtMs ?? Infinity) <= nowMs
+      (this.lastSentAtMs.get(witness) ?? -Infinity) <= dueBeforeMs ||
+      (this.retries.get(witness)?.dueAtMs ?? Infinity) <= nowMs
     );
   }
 
   /**
-   * Notes a promise.
+   * Records a promise.
    *
-   * @param sentAtMs the holder's clock from *before* the renewal was sent. The witness counts from
-   *   after its arrival, so however long the messages took, the holder stops first.
+   * @param sentAtMs the holder's clock *before* the renewal was sent. The witness counts from the arrival of the
+   *   renewal, so the promise ends first for the holder, however long the messages took.
    */
   recordPromise(witness: string, sentAtMs: number): void {
-    this.repeats.delete(witness);
-    const expiry = sentAtMs + holderDurationMs(this.timing);
-    this.expiries.set(
+    this.retries.delete(witness);
+    const promiseEndsAtMs = sentAtMs + holderDurationMs(this.timing);
+    this.expiresAtMs.set(
       witness,
-      Math.max(expiry, this.expiries.get(witness) ?? -Infinity),
+      Math.max(promiseEndsAtMs, this.expiresAtMs.get(witness) ?? -Infinity),
     );
-    this.until = this.computeValidUntil();
+    this.validUntilMs = this.computeValidUntil();
   }
 
-  /** Forgets a witness's promise, because the witness said that it refuses. */
+  /** Drops the promise of a witness that has refused a renewal. */
   dropPromise(witness: string): void {
-    this.expiries.delete(witness);
-    this.until = this.computeValidUntil();
+    this.expiresAtMs.delete(witness);
+    this.validUntilMs = this.computeValidUntil();
   }
 
   /**
-   * Until when the session may serve, on the holder's clock. It is compared with the clock at every
-   * dispatch: a process that was paused wakes up expired, before any timer could tell it.
+   * The time until which the session may serve. Callers compare it with the clock at every dispatch, because a
+   * paused process can resume after this time and before any of its timers fires.
    */
   get validUntil(): number {
-    return this.until;
+    return this.validUntilMs;
   }
 
-  /** When each witness's promise ends, for status pages. */
+  /** When the promise of a witness ends, `undefined` without a promise; for status pages. */
   expiryOf(witness: string): number | undefined {
-    return this.expiries.get(witness);
+    return this.expiresAtMs.get(witness);
   }
 
   private computeValidUntil(): number {
-    return Math.min(...this.sets.map((set) => this.quorumExpiry(set)));
+    return Math.min(...this.witnessSets.map((set) => this.quorumExpiry(set)));
   }
 
-  /** The time at which fewer than a quorum of promises are left. */
+  /** The time from which fewer than a quorum of the set's promises are valid. */
   private quorumExpiry(set: readonly string[]): number {
     const quorum = quorumOf(set.length);
     if (quorum === 0) {
       return Infinity;
     }
     const latestFirst = set
-      .map((witness) => this.expiries.get(witness) ?? -Infinity)
+      .map((witness) => this.expiresAtMs.get(witness) ?? -Infinity)
       .sort((left, right) => right - left);
     return latestFirst[quorum - 1] ?? -Infinity;
   }
--- a/packages/ownership/src/mod.ts
+++ b/packages/ownership/src/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Decides who may serve which keys. Pure: time, messages and randomness come in, decisions go out;
- * nothing here imports sockets, timers or clocks.
+ * Decides which session may serve which keys. All functions are pure: time and messages are arguments, decisions
+ * are results, and nothing here imports sockets, timers or clocks.
  *
  * @module
  */
--- a/packages/ownership/src/plan_moves.ts
+++ b/packages/ownership/src/plan_moves.ts
@@ -1,12 +1,12 @@
 /**
- * Plans moves of partitions between living owners: away from draining ones, and from loaded to less
- * loaded ones where that is worth the churn.
+ * Plans moves of partitions between alive owners: away from draining ones, and from more to less loaded ones where
+ * the imbalance justifies it.
  *
  * @module
  */
 import type { Candidate } from "./assign_partitions.ts";
 
-/** One planned move. */
+/** One planned move of a partition; `token` is the fencing token of the current assignment. */
 export interface Move {
   readonly partition: number;
   readonly token: number;
@@ -14,23 +14,23 @@
   readonly to: string;
 }
 
-/** One partition with its owner and its load. */
+/** One partition with its owner, its fencing token and its load. */
 export interface OwnedPartition {
   readonly partition: number;
   readonly token: number;
   readonly owner: string;
-  /** Load in any unit, for example requests a second. */
+  /** Load in any unit, for example requests per second; the same unit for all partitions. */
   readonly load: number;
 }
 
-/** Load per capacity may exceed the mean by this share before anything moves. */
-const TOLERANCE = 0.05;
+/** Share by which an owner's load per capacity may exceed the mean before partitions are moved. */
+const IMBALANCE_TOLERANCE = 0.05;
 
 /**
- * Plans moves.
+ * Plans moves; returns none if there are no candidates.
  *
- * @param leaving owners that must give up everything they hold.
- * @param maximumMoves the most moves beyond those that leaving owners force.
+ * @param context.draining owners that must release all their partitions.
+ * @param context.maximumMoves maximum number of moves in addition to those from draining owners.
  */
 export function planMoves(
   partitions: readonly OwnedPartition[],
@@ -43,7 +43,7 @@
   if (context.candidates.length === 0) {
     return [];
   }
-  const balance = Balance.create(partitions, context.candidates);
+  const balance = LoadBalance.create(partitions, context.candidates);
   const forced = partitions
     .filter((partition) => context.draining.has(partition.owner))
     .sort((left, right) => right.load - left.load)
@@ -51,7 +51,7 @@
   return [...forced, ...planRebalancing(balance, context.maximumMoves)];
 }
 
-function planRebalancing(balance: Balance, maximumMoves: number): Move[] {
+function planRebalancing(balance: LoadBalance, maximumMoves: number): Move[] {
   const moves: Move[] = [];
   while (moves.length < maximumMoves) {
     const move = balance.nextMove();
@@ -63,8 +63,8 @@
   return moves;
 }
 
-/** Load of the candidates while moves are planned. */
-class Balance {
+/** Load of the candidates, including the effect of the moves planned so far. */
+class LoadBalance {
   private constructor(
     private readonly candidates: readonly Candidate[],
     private readonly loads: Map<string, number>,
@@ -74,7 +74,7 @@
   static create(
     partitions: readonly OwnedPartition[],
     candidates: readonly Candidate[],
-  ): Balance {
+  ): LoadBalance {
     const held = new Map(
       candidates.map(({ session }) => [session, [] as OwnedPartition[]]),
     );
@@ -85,16 +85,16 @@
     const loads = new Map(
       [...held].map(([session, list]) => [session, sumLoads(list)]),
     );
-    return new Balance(candidates, loads, held);
+    return new LoadBalance(candidates, loads, held);
   }
 
   leastLoaded(): Candidate {
     return this.candidates.reduce((least, next) =>
-      this.relative(next) < this.relative(least) ? next : least
+      this.relativeLoad(next) < this.relativeLoad(least) ? next : least
     );
   }
 
-  move(partition: OwnedPartition, taker: Candidate): Move {
+  move(partition: OwnedPartition, recipient: Candidate): Move {
     const { owner, load, token } = partition;
     if (this.loads.has(owner)) {
       this.loads.set(owner, (this.loads.get(owner) as number) - load);
@@ -106,40 +106,47 @@
       );
     }
     this.loads.set(
-      taker.session,
-      (this.loads.get(taker.session) as number) + load,
+      recipient.session,
+      (this.loads.get(recipient.session) as number) + load,
     );
     return {
       partition: partition.partition,
       token,
       from: owner,
-      to: taker.session,
+      to: recipient.session,
     };
   }
 
-  /** The largest partition that the most loaded owner can give without the taker becoming the new peak. */
+  /**
+   * Returns a move of the largest partition of the most loaded owner that does not make the least loaded owner the
+   * more loaded of the two; `undefined` if the imbalance is tolerable or no partition is small enough.
+   */
   nextMove(): Move | undefined {
-    const giver = this.candidates.reduce((most, next) =>
-      this.relative(next) > this.relative(most) ? next : most
+    const source = this.candidates.reduce((most, next) =>
+      this.relativeLoad(next) > this.relativeLoad(most) ? next : most
     );
-    const taker = this.leastLoaded();
-    if (this.relative(giver) <= this.mean() * (1 + TOLERANCE)) {
+    const recipient = this.leastLoaded();
+    if (
+      this.relativeLoad(source) <=
+        this.meanRelativeLoad() * (1 + IMBALANCE_TOLERANCE)
+    ) {
       return undefined;
     }
-    const gap = this.relative(giver) - this.relative(taker);
-    // Only moves that shrink the gap are made, so the plan can't swing back and forth.
-    const fitting = (this.held.get(giver.session) as OwnedPartition[])
+    const difference = this.relativeLoad(source) - this.relativeLoad(recipient);
+    // Only moves that reduce the difference are made, so the plan can't oscillate.
+    const movable = (this.held.get(source.session) as OwnedPartition[])
       .find(({ load }) =>
-        load > 0 && load / taker.capacity + load / giver.capacity <= gap
+        load > 0 &&
+        load / recipient.capacity + load / source.capacity <= difference
       );
-    return fitting === undefined ? undefined : this.move(fitting, taker);
+    return movable === undefined ? undefined : this.move(movable, recipient);
   }
 
-  private relative(candidate: Candidate): number {
+  private relativeLoad(candidate: Candidate): number {
     return (this.loads.get(candidate.session) as number) / candidate.capacity;
   }
 
-  private mean(): number {
+  private meanRelativeLoad(): number {
     const load = [...this.loads.values()].reduce(
       (sum, value) => sum + value,
       0,
--- a/packages/ownership/src/ranking.ts
+++ b/packages/ownership/src/ranking.ts
@@ -1,20 +1,20 @@
 /**
- * Rendezvous ranking: every daemon works out the same order from the same names, without agreement,
- * and the loss of one name changes nobody else's place.
+ * Rendezvous hashing: every daemon computes the same order from the same ids without coordination, and
+ * removing one id does not change the relative order of the others.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 
-/** Sorts candidates by a hash of their name together with a subject's. */
+/** Sorts candidates by the hash of the subject and the candidate's id, lowest hash first. */
 export function rankFor<T>(
   subject: string,
-  by: { candidates: readonly T[]; nameOf: (candidate: T) => string },
+  by: { candidates: readonly T[]; idOf: (candidate: T) => string },
 ): T[] {
   return by.candidates
     .map((candidate) => ({
       candidate,
-      weight: weightOf(subject, by.nameOf(candidate)),
+      weight: weightOf(subject, by.idOf(candidate)),
     }))
     .sort((left, right) => left.weight < right.weight ? -1 : 1)
     .map(({ candidate }) => candidate);
--- a/packages/ownership/src/release_ledger.ts
+++ b/packages/ownership/src/release_ledger.ts
@@ -1,10 +1,10 @@
 /**
- * What an owner gave up, and what of it still runs.
+ * Records the assignments that an owner has released and the requests that still run under them.
  *
  * @module
  */
 
-/** Identity of one assignment of a partition. */
+/** Identifies one assignment of a partition; `token` is its fencing token. */
 export interface AssignmentId {
   readonly service: string;
   readonly partition: number;
@@ -12,57 +12,64 @@
 }
 
 /**
- * Assignments that a session gave up. Giving up is for good: an old copy of the table may still name
- * this session, and a repeated or late request to release must find the same answer.
+ * Assignments that a session has released, with counts of running requests. A release is permanent: an old copy
+ * of the table may still name this session, and a repeated or delayed release request must get the same response.
  */
 export class ReleaseLedger {
-  private readonly given = new Map<string, number>();
-  private readonly running = new Map<string, number>();
+  private readonly releasedTokens = new Map<string, number>();
+  private readonly requestCounts = new Map<string, number>();
 
   private constructor() {}
 
-  /** Creates a ledger in which nothing is given up. */
+  /** Creates a ledger without released assignments. */
   static create(): ReleaseLedger {
     return new ReleaseLedger();
   }
 
-  /** Gives an assignment up: nothing is admitted under it any more. */
+  /** Starts the release of an assignment: from now on no request is admitted under it. */
   startRelease(assignment: AssignmentId): void {
     const name = partitionName(assignment);
-    this.given.set(name, Math.max(assignment.token, this.given.get(name) ?? 0));
+    this.releasedTokens.set(
+      name,
+      Math.max(assignment.token, this.releasedTokens.get(name) ?? 0),
+    );
   }
 
-  /** Whether work may be admitted under an assignment. */
+  /** Whether requests may be admitted under an assignment. */
   mayAdmit(assignment: AssignmentId): boolean {
-    return assignment.token > (this.given.get(partitionName(assignment)) ?? 0);
+    return assignment.token >
+      (this.releasedTokens.get(partitionName(assignment)) ?? 0);
   }
 
-  /** Notes that a request begins. */
+  /** Counts a request as running under an assignment. */
   beginRequest(assignment: AssignmentId): void {
     const name = partitionName(assignment);
-    this.running.set(name, (this.running.get(name) ?? 0) + 1);
+    this.requestCounts.set(name, (this.requestCounts.get(name) ?? 0) + 1);
   }
 
-  /** Notes that a request ended, however it ended. */
+  /** Counts a request as ended, whether it succeeded or not. */
   endRequest(assignment: AssignmentId): void {
     const name = partitionName(assignment);
-    const left = (this.running.get(name) ?? 1) - 1;
-    if (left > 0) {
-      this.running.set(name, left);
+    const remaining = (this.requestCounts.get(name) ?? 1) - 1;
+    if (remaining > 0) {
+      this.requestCounts.set(name, remaining);
     } else {
-      this.running.delete(name);
+      this.requestCounts.delete(name);
     }
   }
 
-  /** Whether an assignment is given up and nothing runs under it any more. */
+  /** Whether an assignment is released and no request of its partition is running. */
   isReleased(assignment: AssignmentId): boolean {
     return !this.mayAdmit(assignment) &&
-      !this.running.has(partitionName(assignment));
+      !this.requestCounts.has(partitionName(assignment));
   }
 
-  /** How many requests run in all. */
+  /** Number of running requests over all partitions. */
   get runningCount(): number {
-    return [...this.running.values()].reduce((sum, count) => sum + count, 0);
+    return [...this.requestCounts.values()].reduce(
+      (sum, count) => sum + count,
+      0,
+    );
   }
 }
 
--- a/packages/ownership/src/suspicion_ledger.ts
+++ b/packages/ownership/src/suspicion_ledger.ts
@@ -1,14 +1,14 @@
 /**
- * The planner's count of which witnesses suspect which sessions.
+ * The planner's record of which witnesses suspect which sessions.
  *
  * @module
  */
 import { refusalsNeeded } from "./timing.ts";
 
-/** Suspicions older than this no longer count, in milliseconds. */
-const FRESH_MS = 1_500;
+/** Age at which a suspicion no longer counts, in milliseconds. */
+const SUSPICION_TTL_MS = 1_500;
 
-/** Reports of silent sessions, by witness. */
+/** Reports of unresponsive sessions, by session and witness. */
 export class SuspicionLedger {
   private readonly reports = new Map<string, Map<string, number>>();
 
@@ -19,7 +19,7 @@
     return new SuspicionLedger();
   }
 
-  /** Notes that a witness has not heard from a session. */
+  /** Records that a witness has received no renewal from a session; `nowMs` is on the planner's clock. */
   report(session: string, by: { witness: string; nowMs: number }): void {
     const reports = this.reports.get(session) ?? new Map<string, number>();
     reports.set(by.witness, by.nowMs);
@@ -29,10 +29,10 @@
   /**
    * Whether enough witnesses suspect a session.
    *
-   * One witness alone may be the one that is cut off. Witnesses that are suspected themselves, or
-   * not open any more, can't report, so they are not waited for.
+   * A single witness does not suffice, because it may be the one that is partitioned from the network. Witnesses
+   * that are themselves suspected or no longer open can't report, so their reports are not required.
    *
-   * @param isOpen whether the session of a witness is open.
+   * @param context.isOpen whether the session of a witness is open.
    */
   isSuspected(
     session: { id: string; witnesses: readonly string[] },
@@ -50,7 +50,7 @@
       reporting >= Math.min(refusalsNeeded(session.witnesses.length), able);
   }
 
-  /** Forgets everything about sessions that are not in `known`. */
+  /** Deletes the reports about sessions that are not in `known`. */
   retain(known: ReadonlySet<string>): void {
     [...this.reports.keys()].filter((id) => !known.has(id)).forEach((id) =>
       this.reports.delete(id)
@@ -59,7 +59,7 @@
 
   private freshReports(session: string, nowMs: number): string[] {
     return [...(this.reports.get(session) ?? [])]
-      .filter(([, at]) => nowMs - at <= FRESH_MS)
+      .filter(([, at]) => nowMs - at <= SUSPICION_TTL_MS)
       .map(([witness]) => witness);
   }
 }
--- a/packages/ownership/src/takeover_tracker.ts
+++ b/packages/ownership/src/takeover_tracker.ts
@@ -1,5 +1,5 @@
 /**
- * The planner's notes on sessions that are being taken over.
+ * Tracks the sessions that the planner is taking over.
  *
  * @module
  */
@@ -16,19 +16,22 @@
   state: string;
 }
 
-/** Takeovers of one planner. All times are on its monotonic clock. */
+/** Takeovers of one planner. All times are in milliseconds of its monotonic clock. */
 export class TakeoverTracker {
-  private readonly cases = new Map<string, Takeover>();
+  private readonly takeovers = new Map<string, Takeover>();
   private readonly endedAtMs = new Map<string, number>();
 
   private constructor(private readonly timing: LeaseTiming) {}
 
-  /** Creates a book without takeovers. */
+  /** Creates a tracker without takeovers. */
   static create(timing: LeaseTiming): TakeoverTracker {
     return new TakeoverTracker(timing);
   }
 
-  /** Takes note of the session records: sealed ones become cases, ended ones become evidence. */
+  /**
+   * Updates the tracker from all session records: a sealed session starts a takeover, and an ended one is evidence
+   * for others. Sessions that are no longer listed are deleted.
+   */
   observe(sessions: readonly SessionRecord[], nowMs: number): void {
     const replaced = new Set(sessions.flatMap((session) => session.replaces));
     sessions.filter((session) =>
@@ -37,8 +40,8 @@
       .forEach((session) => this.endedAtMs.set(session.id, nowMs));
     sessions.filter((session) => session.state === "sealed").forEach(
       (record) => {
-        const known = this.cases.get(record.id);
-        const entry = known ?? {
+        const existing = this.takeovers.get(record.id);
+        const entry = existing ?? {
           record,
           sealedAtMs: nowMs,
           promiseEndsAtMs: new Map(),
@@ -48,26 +51,28 @@
         if (replaced.has(record.id) || record.declared_lost) {
           entry.endConfirmedAtMs ??= nowMs;
         }
-        this.cases.set(record.id, entry);
+        this.takeovers.set(record.id, entry);
       },
     );
     const present = new Set(sessions.map((session) => session.id));
-    [...this.cases.keys()].filter((id) => !present.has(id)).forEach((id) =>
-      this.cases.delete(id)
+    [...this.takeovers.keys()].filter((id) => !present.has(id)).forEach((id) =>
+      this.takeovers.delete(id)
     );
     [...this.endedAtMs.keys()].filter((id) => !present.has(id)).forEach((id) =>
       this.endedAtMs.delete(id)
     );
   }
 
-  /** Whether there are takeovers that have not finished. */
+  /** Whether any takeover has not finished. */
   get isBusy(): boolean {
-    return [...this.cases.values()].some((entry) => entry.state !== "finished");
+    return [...this.takeovers.values()].some((entry) =>
+      entry.state !== "finished"
+    );
   }
 
-  /** Witnesses that still have to refuse, with the sessions that each of them should refuse. */
+  /** Returns, for each witness whose refusal is missing, the sessions that it should refuse. */
   pendingRefusals(): Map<string, string[]> {
-    const open = [...this.cases.values()].filter((entry) =>
+    const open = [...this.takeovers.values()].filter((entry) =>
       entry.state === "refusing" || entry.state === "stuck"
     );
     const pairs = open.flatMap(({ record, promiseEndsAtMs }) =>
@@ -82,22 +87,22 @@
     );
   }
 
-  /** Notes a refusal: from `remainingMs` after now on the witness's promise has certainly ended. */
+  /** Records a refusal by a witness whose last promise expires in at most `remainingMs` of the witness's clock. */
   recordRefusal(
     session: string,
     refusal: { witness: string; remainingMs: number; nowMs: number },
   ): void {
     const promiseEndsAtMs = refusal.nowMs +
       waiterDurationMs(this.timing, refusal.remainingMs);
-    this.cases.get(session)?.promiseEndsAtMs.set(
+    this.takeovers.get(session)?.promiseEndsAtMs.set(
       refusal.witness,
       promiseEndsAtMs,
     );
   }
 
-  /** Steps all takeovers by the evidence so far. */
+  /** Advances the state of all takeovers according to the evidence so far. */
   advance(nowMs: number): void {
-    const sealed: SealedSession[] = [...this.cases.entries()].map((
+    const sealed: SealedSession[] = [...this.takeovers.entries()].map((
       [id, entry],
     ) => ({
       id,
@@ -111,53 +116,58 @@
       observedAtMs,
     }));
     const ends = findEndTimes(sealed, { ended, timing: this.timing });
-    this.cases.forEach((entry, id) => {
+    this.takeovers.forEach((entry, id) => {
       const end = ends.get(id);
       entry.state = TAKEOVER_CHART.next(
         entry.state,
         end === undefined ? "EVIDENCE_LACKING" : "EVIDENCE_COMPLETE",
       );
-      if (end !== undefined && nowMs >= end + workAllowanceMs(entry.record)) {
+      if (
+        end !== undefined && nowMs >= end + maxRemainingWorkMs(entry.record)
+      ) {
         entry.state = TAKEOVER_CHART.next(entry.state, "RUN_OUT");
       }
     });
   }
 
-  /** Whether the partitions of a session may be given to others. */
+  /** Whether the partitions of a session may be assigned to others. */
   mayReplace(session: string): boolean {
-    const state = this.cases.get(session)?.state;
+    const state = this.takeovers.get(session)?.state;
     return this.endedAtMs.has(session) || state === "assigning" ||
       state === "finished";
   }
 
-  /** Sessions whose partitions may be given to others and whose records still say sealed. */
+  /** Returns the sessions whose partitions may be assigned to others but are not all reassigned yet. */
   replaceable(): string[] {
-    return [...this.cases].filter(([, entry]) => entry.state === "assigning")
+    return [...this.takeovers].filter(([, entry]) =>
+      entry.state === "assigning"
+    )
       .map(([id]) => id);
   }
 
-  /** Notes that all partitions of a session have new owners. */
+  /** Finishes a takeover, after all partitions of the session have new owners. */
   finish(session: string): void {
-    const entry = this.cases.get(session);
+    const entry = this.takeovers.get(session);
     if (entry !== undefined) {
       entry.state = TAKEOVER_CHART.next(entry.state, "ASSIGNED");
     }
   }
 
-  /** Sessions whose takeover lacks evidence. */
+  /** Returns the sessions whose takeover lacks evidence that they have ended. */
   findStuck(): string[] {
-    return [...this.cases].filter(([, entry]) => entry.state === "stuck").map((
-      [id],
-    ) => id);
+    return [...this.takeovers].filter(([, entry]) => entry.state === "stuck")
+      .map((
+        [id],
+      ) => id);
   }
 }
 
 /**
- * How long work that was handed over may still run after the session ended.
+ * How long a dispatched request may still run after the session has ended, in milliseconds.
  *
- * A backend server that checks its grant stops with it. One that doesn't runs on, up to the longest
- * timeout, and a new owner before that would be a second one.
+ * A backend server that checks its grant stops when the grant ends. One that doesn't check may run for up to the
+ * longest time-out, and until then a new owner would be a second one.
  */
-function workAllowanceMs(record: SessionRecord): number {
+function maxRemainingWorkMs(record: SessionRecord): number {
   return record.checks_fencing ? 0 : record.longest_work_ms;
 }
--- a/packages/ownership/src/timing.ts
+++ b/packages/ownership/src/timing.ts
@@ -1,48 +1,54 @@
 /**
- * Lengths of promises and the sizes of quorums.
+ * Durations of witness promises and sizes of quorums.
  *
  * @module
  */
 
-/** The times that every daemon of a fleet must agree on. */
+/** Durations of leases. All daemons of a fleet must use the same values. */
 export interface LeaseTiming {
-  /** How long a witness's promise lasts, in milliseconds. */
+  /** Duration of a witness's promise, in milliseconds. */
   readonly promiseMs: number;
-  /** How often a holder renews its promises, in milliseconds. */
+  /** Interval at which a holder renews its promises, in milliseconds. */
   readonly renewIntervalMs: number;
   /**
-   * The most by which the rates of two monotonic clocks may differ. 0.01 means that one second on one
-   * host lasts between 0.99 and 1.01 seconds on any other.
+   * Maximum difference between the rates of two monotonic clocks, as a share. With 0.01, one second on one
+   * host lasts between 0.99 and 1.01 seconds on any other host.
    */
   readonly drift: number;
 }
 
-/** The times used unless the settings say otherwise. */
+/** Default durations of leases. */
 export const DEFAULT_TIMING: LeaseTiming = {
   promiseMs: 1_000,
   renewIntervalMs: 400,
   drift: 0.01,
 };
 
-/** How many of `witnesses` must have promised before a session may serve. */
+/** Number of witnesses, out of `witnesses`, whose promises a session needs to serve. */
 export function quorumOf(witnesses: number): number {
   return Math.ceil(witnesses / 2);
 }
 
 /**
- * How many of `witnesses` must refuse before no quorum is left. One more than the rest, so that every
- * quorum and every set of refusals share a witness.
+ * Number of witnesses, out of `witnesses`, that must refuse before no quorum is possible. It is one more than
+ * the number outside a quorum, so that every quorum and every such set of refusals share a witness.
  */
 export function refusalsNeeded(witnesses: number): number {
   return witnesses - quorumOf(witnesses) + 1;
 }
 
-/** How long the holder counts on a promise: shorter than it lasts, because its clock may be slow. */
+/**
+ * How long the holder relies on a promise, in milliseconds of its own clock. This is shorter than the promise,
+ * because the holder's clock may be slow.
+ */
 export function holderDurationMs(timing: LeaseTiming): number {
   return timing.promiseMs * (1 - timing.drift);
 }
 
-/** How long anybody else waits for a promise to end: longer, because the waiter's clock may be fast. */
+/**
+ * How long any other process waits for a promise to end, in milliseconds of its own clock. This is longer than
+ * the promise, because that clock may be fast.
+ */
 export function waiterDurationMs(
   timing: LeaseTiming,
   promiseMs: number = timing.promiseMs,
--- a/packages/ownership/src/watcher_choice.ts
+++ b/packages/ownership/src/watcher_choice.ts
@@ -1,15 +1,15 @@
 /**
- * Which daemons watch the store; the others hear from them.
+ * Selects the daemons that watch the store; the other daemons receive changes from them.
  *
  * @module
  */
 import type { SessionRecord } from "@bamboolink/types";
 import { rankFor } from "./ranking.ts";
 
-/** Watchers in each availability zone. The store counts a waiting watch as a call. */
+/** Number of watchers per availability zone; it is small because the store counts a pending watch as a call. */
 export const WATCHERS_PER_ZONE = 2;
 
-/** The watchers in the order in which they stand for planner, best first. */
+/** Returns the watchers in the order in which they are candidates for planner, first choice first. */
 export function rankWatchers(
   sessions: readonly SessionRecord[],
 ): SessionRecord[] {
@@ -18,7 +18,7 @@
   );
   const ranked = rankFor("watchers", {
     candidates: open,
-    nameOf: (session) => session.id,
+    idOf: (session) => session.id,
   });
   return ranked.filter((session, index) =>
     ranked
--- a/packages/ownership/src/witness_choice.ts
+++ b/packages/ownership/src/witness_choice.ts
@@ -1,20 +1,22 @@
 /**
- * Which sessions witness for which.
+ * Selects the witnesses of each session.
  *
  * @module
  */
 import type { SessionRecord } from "@bamboolink/types";
 import { rankFor } from "./ranking.ts";
 
-/** How many witnesses a session has, where there are enough. */
-export const WITNESS_COUNT = 5;
+/** Number of witnesses of a session if enough sessions are eligible. */
+export const MAX_WITNESSES = 5;
 
 /**
- * Chooses witnesses for a session: open ones in its own region, spread over availability zones, at
- * most one on a host.
+ * Chooses witnesses for a session: open sessions of the same region on other hosts that no newer session replaces, spread
+ * over availability zones.
  *
- * Regions lose each other for minutes, so a witness elsewhere would be silent as long. A zone may go
- * at once, so no zone holds more witnesses than the spread forces.
+ * Regions can be partitioned from each other for minutes, and a witness in another region would be unreachable
+ * for as long. A whole zone can fail at once, so the witnesses are spread as evenly over zones as possible.
+ *
+ * @returns the ids of at most `MAX_WITNESSES` sessions.
  */
 export function chooseWitnesses(
   self: Pick<SessionRecord, "id" | "host" | "region">,
@@ -26,19 +28,19 @@
   );
   const ranked = rankFor(self.id, {
     candidates: eligible,
-    nameOf: (session) => session.id,
+    idOf: (session) => session.id,
   });
-  return spreadOverZones(ranked).slice(0, WITNESS_COUNT).map((session) =>
+  return interleaveZones(ranked).slice(0, MAX_WITNESSES).map((session) =>
     session.id
   );
 }
 
 /**
- * Reviews the witnesses of a session: those that are still good stay, so that a loss changes only the
- * sets that held the lost one.
+ * Replaces the witnesses of a session that are no longer usable. The others stay, so that the loss of a session
+ * changes only the witness sets that contain it.
  *
- * @param unreachable witnesses that have not answered for long.
- * @returns the new set, or `undefined` where it stays as it is.
+ * @param context.unreachable witnesses that have not responded for a long time.
+ * @returns the ids of the new set, or `undefined` if the set does not change.
  */
 export function reviewWitnesses(
   self: SessionRecord,
@@ -76,8 +78,8 @@
     session.host !== self.host;
 }
 
-/** Takes turns between zones, keeping the order within each. */
-function spreadOverZones(ranked: readonly SessionRecord[]): SessionRecord[] {
+/** Orders sessions round-robin over their zones and keeps the order within each zone. */
+function interleaveZones(ranked: readonly SessionRecord[]): SessionRecord[] {
   const turns = ranked.map((session, index) => ({
     session,
     turn:
--- a/packages/ownership/src/witness_ledger.ts
+++ b/packages/ownership/src/witness_ledger.ts
@@ -1,20 +1,23 @@
 /**
- * The witness's side of leases: what it promised and whom it refuses.
+ * The witness's side of leases: the promises it has given and the sessions it refuses.
  *
  * @module
  */
 import { type LeaseTiming, waiterDurationMs } from "./timing.ts";
 
-/** A witness's answer to a renewal. */
+/** A witness's response to a renewal. */
 export type PromiseResponse = "promised" | "refused" | "not_permitted";
 
-/** What one session promised to others. It lives and dies with the session: a restart forgets it. */
+/**
+ * Promises and refusals of one session as a witness. They are not persisted: a restarted daemon has a new session,
+ * which starts without them. All times are in milliseconds of the witness's clock.
+ */
 export class WitnessLedger {
-  private readonly promisedUntil = new Map<string, number>();
+  private readonly promisedUntilMs = new Map<string, number>();
   private readonly refused = new Set<string>();
-  private confirmedUntil = -Infinity;
-  private lastStepMs = -Infinity;
-  private listeningSinceMs = -Infinity;
+  private confirmedUntilMs = -Infinity;
+  private lastStepAtMs = -Infinity;
+  private receivingSinceMs = -Infinity;
 
   private constructor(private readonly timing: LeaseTiming) {}
 
@@ -24,41 +27,44 @@
   }
 
   /**
-   * Notes that the store showed this session's record as open.
+   * Records that this session's record was read from the store and is open.
    *
-   * Without this, a cut that lasts longer than a promise would leave every session suspended, none
-   * permitted to promise and so none able to recover. A reading of the open record permits promises
-   * for one promise's length; a takeover waits as long after sealing the record.
+   * Otherwise a network partition that lasts longer than a promise would leave every session suspended, none of
+   * them permitted to promise, and so none able to recover. A read of the open record permits promises for one
+   * promise duration; a takeover waits that long after sealing the record.
    *
-   * @param sentAtMs this session's clock from before the reading was sent.
+   * @param sentAtMs this session's clock before the read was sent.
    */
   confirmOpen(sentAtMs: number): void {
-    this.confirmedUntil = Math.max(
-      this.confirmedUntil,
+    this.confirmedUntilMs = Math.max(
+      this.confirmedUntilMs,
       sentAtMs + this.timing.promiseMs * (1 - this.timing.drift),
     );
   }
 
   /**
-   * Notes a step of the witness's control loop.
+   * Records an iteration of the witness's control loop.
    *
-   * After a pause of its own a witness knows of nobody's silence: it has not read what arrived, and whoever
-   * it witnesses for may have been paused with it. It listens for a whole promise before it calls anybody
-   * silent. What goes wrong otherwise: a machine that stands still for 1.2 s has all its daemons taken over.
+   * After a pause of its own, a witness can't tell which sessions are unresponsive: it has not read the renewals
+   * that arrived meanwhile, and the sessions may have been paused with it. It therefore reports none until it has
+   * received messages for a whole promise duration. Otherwise all daemons of a machine that stalls for 1.2 s are
+   * taken over.
    */
   recordStep(nowMs: number): void {
-    if (nowMs - this.lastStepMs > this.timing.renewIntervalMs) {
-      this.listeningSinceMs = nowMs;
+    if (nowMs - this.lastStepAtMs > this.timing.renewIntervalMs) {
+      this.receivingSinceMs = nowMs;
     }
-    this.lastStepMs = nowMs;
+    this.lastStepAtMs = nowMs;
   }
 
   /**
-   * Answers a renewal.
+   * Handles a renewal.
+   *
+   * A session promises only while its own lease is valid or `confirmOpen` permits it. Otherwise, if a witness and
+   * the session it promises to are partitioned from the network together and both are taken over, the witness,
+   * which can't be asked to refuse, keeps the old owner serving at the same time as the new one.
    *
-   * A session promises only while it is valid itself. What goes wrong otherwise: a witness and the
-   * session it promises for are cut off together, both are taken over, and the witness, which nobody
-   * can reach, keeps the old owner serving beside the new one.
+   * @param at.validUntilMs end of this session's own lease, on its own clock like `nowMs`.
    */
   renew(
     holder: string,
@@ -67,21 +73,21 @@
     if (this.refused.has(holder)) {
       return "refused";
     }
-    if (at.nowMs >= Math.max(at.validUntilMs, this.confirmedUntil)) {
+    if (at.nowMs >= Math.max(at.validUntilMs, this.confirmedUntilMs)) {
       return "not_permitted";
     }
-    this.promisedUntil.set(holder, at.nowMs + waiterDurationMs(this.timing));
+    this.promisedUntilMs.set(holder, at.nowMs + waiterDurationMs(this.timing));
     return "promised";
   }
 
   /**
-   * Refuses a session from now on.
+   * Refuses all further renewals of a session.
    *
-   * @returns how long the last promise to it still lasts, in milliseconds.
+   * @returns the remaining duration of the last promise to it, in milliseconds; 0 if there is none.
    */
   refuse(holder: string, nowMs: number): number {
     this.refused.add(holder);
-    return Math.max(0, (this.promisedUntil.get(holder) ?? -Infinity) - nowMs);
+    return Math.max(0, (this.promisedUntilMs.get(holder) ?? -Infinity) - nowMs);
   }
 
   /** Whether this witness refuses a session. */
@@ -89,26 +95,29 @@
     return this.refused.has(holder);
   }
 
-  /** Sessions whose promises have run out for at least `silentMs`, with how long ago; none soon after a pause. */
+  /**
+   * Returns the sessions whose promises expired at least `minExpiredMs` ago and that are not refused, with the time
+   * since then; none for one promise duration after a pause of this witness.
+   */
   findUnresponsive(
     nowMs: number,
-    silentMs: number,
-  ): { session: string; silentMs: number }[] {
-    if (nowMs - this.listeningSinceMs < waiterDurationMs(this.timing)) {
+    minExpiredMs: number,
+  ): { session: string; expiredForMs: number }[] {
+    if (nowMs - this.receivingSinceMs < waiterDurationMs(this.timing)) {
       return [];
     }
-    return [...this.promisedUntil.entries()]
-      .map(([session, until]) => ({ session, silentMs: nowMs - until }))
+    return [...this.promisedUntilMs.entries()]
+      .map(([session, untilMs]) => ({ session, expiredForMs: nowMs - untilMs }))
       .filter((entry) =>
-        entry.silentMs >= silentMs && !this.refused.has(entry.session)
+        entry.expiredForMs >= minExpiredMs && !this.refused.has(entry.session)
       );
   }
 
-  /** Forgets sessions that no longer count. Refusals are kept only for sessions in `known`. */
+  /** Deletes the promises to, and refusals of, sessions that are not in `known`. */
   retain(known: ReadonlySet<string>): void {
-    [...this.promisedUntil.keys()].filter((id) => !known.has(id)).forEach((
+    [...this.promisedUntilMs.keys()].filter((id) => !known.has(id)).forEach((
       id,
-    ) => this.promisedUntil.delete(id));
+    ) => this.promisedUntilMs.delete(id));
     [...this.refused].filter((id) => !known.has(id)).forEach((id) =>
       this.refused.delete(id)
     );
--- a/packages/routing/src/mod.ts
+++ b/packages/routing/src/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Finds the service, the operation, the key, the partition and the owner of a request. Pure: it knows
- * nothing of sockets, timers or clocks.
+ * Finds the service, the operation, the key, the partition and the owner of a request. All functions are pure and use
+ * no sockets, timers or clocks.
  *
  * @module
  */
--- a/packages/routing/src/ownership_table.ts
+++ b/packages/routing/src/ownership_table.ts
@@ -1,5 +1,5 @@
 /**
- * Looks owners up in the shards of the ownership table.
+ * Finds the owners of keys and partitions in the shards of the ownership table.
  *
  * @module
  */
@@ -10,19 +10,19 @@
 } from "@bamboolink/types";
 import { partitionOf } from "./partition.ts";
 
-/** Who owns a key. */
+/** The assignment of a key to its owner. */
 export interface Assignment {
   readonly service: string;
   readonly partition: number;
-  /** Identity of the owning session. */
+  /** Id of the owning session. */
   readonly session: string;
   /** Fencing token of the assignment. */
   readonly token: number;
-  /** Whether the key is owned apart from its partition. */
+  /** Whether the key is assigned separately from its partition. */
   readonly override: boolean;
 }
 
-/** One version of the ownership table, made for fast look-ups. */
+/** One version of the ownership table, indexed for fast lookup. */
 export class OwnershipTable {
   private constructor(
     private readonly shards: ReadonlyMap<
@@ -36,11 +36,11 @@
   static create(shards: readonly TableShard[]): OwnershipTable {
     const services = [...new Set(shards.map((shard) => shard.service))];
     const byService = new Map(
-      services.map((service) => [service, orderShards(service, shards)]),
+      services.map((service) => [service, indexShards(service, shards)]),
     );
     const overrides = shards.flatMap((shard) =>
       shard.overrides.map((override) =>
-        [overrideName(shard.service, override.key), {
+        [overrideKey(shard.service, override.key), {
           service: shard.service,
           partition: NO_OWNER,
           session: override.owner,
@@ -52,19 +52,19 @@
     return new OwnershipTable(byService, new Map(overrides));
   }
 
-  /** Finds the owner of a key; `undefined` where it has none yet. */
+  /** Finds the owner of a key; `undefined` if it has none yet. */
   find(
     key: string,
     service: { name: string; partitions: number },
   ): Assignment | undefined {
     const partition = partitionOf(key, service.partitions);
-    const override = this.overrides.get(overrideName(service.name, key));
+    const override = this.overrides.get(overrideKey(service.name, key));
     return override === undefined
       ? this.findPartition(partition, service.name)
       : { ...override, partition };
   }
 
-  /** Finds the owner of a partition; `undefined` where it has none yet. */
+  /** Finds the owner of a partition, ignoring overrides of keys; `undefined` if it has none yet. */
   findPartition(partition: number, service: string): Assignment | undefined {
     const shard = this.shards.get(service)
       ?.[Math.floor(partition / PARTITIONS_PER_SHARD)];
@@ -80,20 +80,22 @@
   }
 }
 
-function orderShards(
+function indexShards(
   service: string,
   shards: readonly TableShard[],
 ): (TableShard | undefined)[] {
-  const own = shards.filter((shard) => shard.service === service);
-  const last = Math.max(...own.map((shard) => shard.first)) /
+  const serviceShards = shards.filter((shard) => shard.service === service);
+  const lastIndex = Math.max(...serviceShards.map((shard) => shard.first)) /
     PARTITIONS_PER_SHARD;
   return Array.from(
-    { length: last + 1 },
+    { length: lastIndex + 1 },
     (_, index) =>
-      own.find((shard) => shard.first === index * PARTITIONS_PER_SHARD),
+      serviceShards.find((shard) =>
+        shard.first === index * PARTITIONS_PER_SHARD
+      ),
   );
 }
 
-function overrideName(service: string, key: string): string {
+function overrideKey(service: string, key: string): string {
   return `${service}\n${key}`;
 }
--- a/packages/routing/src/request_matcher.ts
+++ b/packages/routing/src/request_matcher.ts
@@ -1,5 +1,5 @@
 /**
- * Matches a request against the configuration: which service, which operation, which key.
+ * Matches a request against the configuration to find its service, operation and key.
  *
  * @module
  */
@@ -13,19 +13,19 @@
 import createRouter, { type HTTPMethod } from "find-my-way";
 import { err, ok, type Result } from "neverthrow";
 
-/** The longest key in characters. */
-const MAXIMUM_KEY_LENGTH = 1_024;
+/** Maximum length of a key, in characters. */
+const MAX_KEY_LENGTH = 1_024;
 const STEP = "routing.match";
 
-/** The parts of a request that routing reads. */
+/** The parts of a request that determine its route. */
 export interface RequestTarget {
   readonly method: string;
-  /** Path with query, as on the request line. */
+  /** Path with query, as in the request line. */
   readonly url: string;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
 }
 
-/** Where a request belongs. */
+/** The service, operation and key of a request. */
 export interface Match {
   readonly service: Service;
   readonly operation: Operation;
@@ -43,7 +43,7 @@
     private readonly router: ReturnType<typeof createRouter>,
   ) {}
 
-  /** Creates a matcher for a valid document. */
+  /** Creates a matcher for a document that has been validated. */
   static create(document: ConfigurationDocument): RequestMatcher {
     const router = createRouter({ ignoreTrailingSlash: true });
     document.services
@@ -61,14 +61,14 @@
     return new RequestMatcher(router);
   }
 
-  /** Matches one request; errors are `not_found` (no operation) or `invalid` (no usable key). */
+  /** Matches one request; errors are `not_found` (no such operation) and `invalid` (key missing or too long). */
   match(target: RequestTarget): Result<Match, BamboolinkError> {
     const found = this.router.find(target.method as HTTPMethod, target.url);
     if (found === null) {
       return err(
         BamboolinkError.create(
           "not_found",
-          "no operation covers this method and path",
+          "no operation has this method and path",
           { step: STEP },
         ),
       );
@@ -82,9 +82,9 @@
       const message = `no key: expected ${describeRule(route.operation.key)}`;
       return err(BamboolinkError.create("invalid", message, { step: STEP }));
     }
-    if (key.length > MAXIMUM_KEY_LENGTH) {
+    if (key.length > MAX_KEY_LENGTH) {
       const message =
-        `the key has ${key.length} characters; at most ${MAXIMUM_KEY_LENGTH} are allowed`;
+        `the key has ${key.length} characters; at most ${MAX_KEY_LENGTH} are allowed`;
       return err(BamboolinkError.create("invalid", message, { step: STEP }));
     }
     return ok({ ...route, key });
@@ -110,7 +110,7 @@
   }
 }
 
-/** A key that is given twice is no key: two hosts could read it differently. */
+/** Reads a query parameter; `undefined` if it occurs more than once, because hosts could choose different values. */
 function readQuery(url: string, parameter: string): string | undefined {
   const start = url.indexOf("?");
   const values = start < 0
--- a/packages/view/src/fleet_state.ts
+++ b/packages/view/src/fleet_state.ts
@@ -1,6 +1,6 @@
 /**
- * Reads typed records out of a view. A record that does not have the expected shape is left out and
- * reported; it never makes the others unreadable.
+ * Parses the records of a view. A record that does not match its schema is omitted and reported; the others stay
+ * readable.
  *
  * @module
  */
@@ -19,32 +19,33 @@
 import type { z } from "zod";
 import type { View, ViewRecord } from "./view.ts";
 
-/** A record that could not be used. */
+/** A record that does not match its schema. */
 export interface RecordProblem {
   readonly key: string;
   readonly message: string;
 }
 
-/** A record with the revision that a compare-and-swap on it needs. */
+/** A parsed record with its key and the revision that a compare-and-swap on it expects. */
 export interface Versioned<T> {
   readonly key: string;
   readonly revision: number;
   readonly record: T;
 }
 
-/** All records of the fleet, typed. */
+/** All parsed records of the fleet. */
 export interface FleetState {
   readonly revision: number;
   readonly configuration: Versioned<ConfigurationRecord> | undefined;
   readonly planner: Versioned<PlannerRecord> | undefined;
-  /** Sessions by identity. */
+  /** Sessions by id. */
   readonly sessions: ReadonlyMap<string, Versioned<SessionRecord>>;
   readonly shards: readonly Versioned<TableShard>[];
+  /** Drain records by host. */
   readonly drains: ReadonlyMap<string, Versioned<DrainRecord>>;
   readonly problems: readonly RecordProblem[];
 }
 
-/** Reads the whole view. */
+/** Parses all records of a view; records that do not match their schema are listed in `problems`. */
 export function readFleetState(view: View): FleetState {
   const problems: RecordProblem[] = [];
   const readAll = <T>(
@@ -78,7 +79,7 @@
   };
 }
 
-/** Parsed records by the record they came from, so that a change of one record parses only that one. */
+/** Parsed values by source record, so that a change of one record causes only that one to be parsed again. */
 const parsedRecords = new WeakMap<ViewRecord, unknown>();
 
 function parseRecord<T>(
@@ -89,9 +90,9 @@
   const versioned = (
     value: T,
   ) => [{ key: record.key, revision: record.revision, record: value }];
-  const known = parsedRecords.get(record);
-  if (known !== undefined) {
-    return versioned(known as T);
+  const cached = parsedRecords.get(record);
+  if (cached !== undefined) {
+    return versioned(cached as T);
   }
   const json = parseJson(record.value ?? "");
   const parsed = schema.safeParse(json);
@@ -99,10 +100,12 @@
     parsedRecords.set(record, parsed.data);
     return versioned(parsed.data);
   }
-  const first = parsed.error.issues[0];
+  const firstIssue = parsed.error.issues[0];
   problems.push({
     key: record.key,
-    message: `${first?.path.join(".") ?? ""}: ${first?.message ?? ""}`,
+    message: `${firstIssue?.path.join(".") ?? ""}: ${
+      firstIssue?.message ?? ""
+    }`,
   });
   return [];
 }
--- a/packages/view/src/mod.ts
+++ b/packages/view/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The copy of the platform's records that each daemon holds, and the deltas between copies.
+ * The copy of the platform's records that each daemon keeps, and the deltas between copies.
  *
  * @module
  */
--- a/packages/view/src/view.ts
+++ b/packages/view/src/view.ts
@@ -1,41 +1,41 @@
 /**
- * A copy of all records below one prefix of the store, ordered by the store's revision.
+ * A copy of all records below one prefix of the store, versioned by the store's revision.
  *
- * The store numbers every write with one growing revision. A copy that is complete up to revision R
- * is exactly what the store held at R, so one number says how new a copy is, two copies differ by the
- * records with later revisions, and merging can only go forward.
+ * The store gives each write the next revision. A copy that is complete up to revision R equals the content of the
+ * store at R. One number therefore identifies the version of a copy, two copies differ only in records with later
+ * revisions, and a merge never moves a copy to an older revision.
  *
  * @module
  */
 
-/** One record, or the trace of a deleted one. */
+/** One record, or the tombstone of a deleted record. */
 export interface ViewRecord {
   readonly key: string;
-  /** JSON text; `undefined` where the record was deleted. */
+  /** JSON text; `undefined` if the record was deleted. */
   readonly value: string | undefined;
-  /** The store's revision of the last write of this record. */
+  /** The store's revision of the last write or the deletion of this record. */
   readonly revision: number;
 }
 
-/** What one copy needs to become as new as another. */
+/** The changes that bring one copy to the revision of another. */
 export interface Delta {
-  /** The copy that takes it must be complete up to here; 0 marks a whole copy. */
+  /** Revision up to which the receiving copy must be complete; 0 if the delta contains all records. */
   readonly from: number;
-  /** The copy is then complete up to here. */
+  /** Revision up to which the receiving copy is complete after the merge. */
   readonly to: number;
   readonly records: readonly ViewRecord[];
 }
 
-/** Traces of deleted records kept for deltas; a copy that is further behind is replaced whole. */
-const DELETED_LIMIT = 2_048;
+/** Number of tombstones kept for deltas; a copy that lacks older deletions gets all records instead. */
+const MAX_TOMBSTONES = 2_048;
 
-/** A copy of the records. */
+/** A copy of the records below one prefix of the store. */
 export class View {
   private readonly records = new Map<string, ViewRecord>();
-  private readonly deleted = new Map<string, ViewRecord>();
-  /** Deltas that start before this revision could miss a deletion. */
-  private oldestDelta = 0;
-  private upTo = 0;
+  private readonly tombstones = new Map<string, ViewRecord>();
+  /** Deltas from revisions before this one could omit a deletion. */
+  private oldestDeltaRevision = 0;
+  private completeRevision = 0;
 
   private constructor() {}
 
@@ -46,89 +46,101 @@
 
   /** The revision up to which the copy is complete. */
   get revision(): number {
-    return this.upTo;
+    return this.completeRevision;
   }
 
-  /** How many records there are. */
+  /** Number of records, without tombstones. */
   get size(): number {
     return this.records.size;
   }
 
-  /** Finds one record. */
+  /** Returns the record with a key; `undefined` if there is none. */
   get(key: string): ViewRecord | undefined {
     return this.records.get(key);
   }
 
-  /** Lists the records below a prefix, ordered by key. */
+  /** Returns the records whose keys start with a prefix, ordered by key. */
   list(prefix: string): ViewRecord[] {
     return [...this.records.values()]
       .filter((record) => record.key.startsWith(prefix))
       .sort((left, right) => left.key < right.key ? -1 : 1);
   }
 
-  /** What a copy that is complete up to `since` needs; `undefined` where it needs nothing. */
+  /** Returns the delta for a copy that is complete up to revision `since`; `undefined` if it lacks nothing. */
   deltaSince(since: number): Delta | undefined {
-    if (since >= this.upTo) {
+    if (since >= this.completeRevision) {
       return undefined;
     }
-    if (since < this.oldestDelta || since === 0) {
-      return { from: 0, to: this.upTo, records: [...this.records.values()] };
+    if (since < this.oldestDeltaRevision || since === 0) {
+      return {
+        from: 0,
+        to: this.completeRevision,
+        records: [...this.records.values()],
+      };
     }
-    const records = [...this.records.values(), ...this.deleted.values()]
+    const records = [...this.records.values(), ...this.tombstones.values()]
       .filter((record) => record.revision > since);
-    return { from: since, to: this.upTo, records };
+    return { from: since, to: this.completeRevision, records };
   }
 
   /**
    * Merges a delta.
    *
-   * @returns `merged`, `old` where it holds nothing new, or `gap` where this copy is too old for it.
+   * @returns `merged`; `old` if the delta contains nothing new; `gap` if it starts after the revision of this copy,
+   *   which then stays unchanged.
    */
   merge(delta: Delta): "merged" | "old" | "gap" {
-    if (delta.to <= this.upTo) {
+    if (delta.to <= this.completeRevision) {
       return "old";
     }
-    if (delta.from > this.upTo) {
+    if (delta.from > this.completeRevision) {
       return "gap";
     }
-    if (delta.from === 0 && this.upTo > 0) {
-      this.dropMissing(delta);
+    if (delta.from === 0 && this.completeRevision > 0) {
+      this.deleteMissing(delta);
     }
     delta.records.forEach((record) => this.put(record));
-    this.upTo = delta.to;
+    this.completeRevision = delta.to;
     return "merged";
   }
 
-  /** A whole copy has no traces of deletions, so what it lacks and is not newer was deleted. */
-  private dropMissing(whole: Delta): void {
-    const present = new Set(whole.records.map((record) => record.key));
+  /**
+   * Deletes the records that a delta with all records lacks. Such a delta has no tombstones, and its revision is
+   * later than that of this copy, so these records were deleted.
+   */
+  private deleteMissing(fullDelta: Delta): void {
+    const present = new Set(fullDelta.records.map((record) => record.key));
     [...this.records.values()]
       .filter((record) => !present.has(record.key))
       .forEach((record) => this.records.delete(record.key));
-    this.deleted.clear();
-    this.oldestDelta = whole.to;
+    this.tombstones.clear();
+    this.oldestDeltaRevision = fullDelta.to;
   }
 
   private put(record: ViewRecord): void {
-    const known = this.records.get(record.key) ?? this.deleted.get(record.key);
-    if (known !== undefined && known.revision >= record.revision) {
+    const existing = this.records.get(record.key) ??
+      this.tombstones.get(record.key);
+    if (existing !== undefined && existing.revision >= record.revision) {
       return;
     }
     this.records.delete(record.key);
-    this.deleted.delete(record.key);
-    (record.value === undefined ? this.deleted : this.records).set(
+    this.tombstones.delete(record.key);
+    (record.value === undefined ? this.tombstones : this.records).set(
       record.key,
       record,
     );
-    this.forgetOldDeletions();
+    this.pruneTombstones();
   }
 
-  private forgetOldDeletions(): void {
-    if (this.deleted.size <= DELETED_LIMIT) {
+  private pruneTombstones(): void {
+    if (this.tombstones.size <= MAX_TOMBSTONES) {
       return;
     }
-    const oldest = this.deleted.values().next().value as ViewRecord;
-    this.deleted.delete(oldest.key);
-    this.oldestDelta = Math.max(this.oldestDelta, oldest.revision);
+    const oldest = this.tombstones.values().next().value as ViewRecord;
+    this.tombstones.delete(oldest.key);
+    this.oldestDeltaRevision = Math.max(
+      this.oldestDeltaRevision,
+      oldest.revision,
+    );
   }
 }
