--- a/packages/configuration/src/configuration_test.ts
+++ b/packages/configuration/src/configuration_test.ts
@@ -1,5 +1,6 @@
 /**
- * Tests of the configuration document: whole or refused, and one winner among operators.
+ * Tests of the configuration document: it is accepted or refused as a whole, and of concurrent changes by operators
+ * one succeeds.
  *
  * @module
  */
@@ -14,15 +15,15 @@
 import { compareDocuments } from "./compare.ts";
 import { validateDocument } from "./validate.ts";
 
-const atlas = JSON.parse(
+const example = JSON.parse(
   readFileSync(
     new URL("../../../examples/atlas.json", import.meta.url),
     "utf8",
   ),
 );
 
-function change(edit: (document: typeof atlas) => void): unknown {
-  const copy = structuredClone(atlas);
+function editExample(edit: (document: typeof example) => void): unknown {
+  const copy = structuredClone(example);
   edit(copy);
   return copy;
 }
@@ -35,13 +36,13 @@
 }
 
 describe("configuration", () => {
-  describe("validation", () => {
-    it("accepts the example", () => {
-      expect(problemsOf(atlas)).to.deep.equal([]);
+  describe("validateDocument", () => {
+    it("accepts the example document", () => {
+      expect(problemsOf(example)).to.deep.equal([]);
     });
 
-    it("names the path of each problem and what was expected", () => {
-      const cases: [string, (document: typeof atlas) => void][] = [
+    it("reports each problem with its path", () => {
+      const cases: [string, (document: typeof example) => void][] = [
         [
           "services[0].name",
           (document) => document.services[0].name = "Quote Desk",
@@ -69,11 +70,11 @@
         ],
       ];
       cases.forEach(([path, edit]) =>
-        expect(problemsOf(change(edit)).join("\n")).to.contain(path)
+        expect(problemsOf(editExample(edit)).join("\n")).to.contain(path)
       );
     });
 
-    it("takes any JSON without throwing, and accepts none of it", () => {
+    it("rejects any other JSON without throwing", () => {
       fc.assert(
         fc.property(fc.jsonValue(), (value) => validateDocument(value).isErr()),
         { seed: 31, numRuns: 1_000 },
@@ -81,11 +82,17 @@
     });
   });
 
-  describe("apply", () => {
-    const document = validateDocument(atlas)._unsafeUnwrap();
-    const given = { document, author: "a", note: "", attempt: "1", nowMs: 1 };
+  describe("applyDocument", () => {
+    const document = validateDocument(example)._unsafeUnwrap();
+    const baseChange = {
+      document,
+      author: "a",
+      note: "",
+      attempt: "1",
+      nowMs: 1,
+    };
 
-    it("lets exactly one of racing operators win, and versions only grow", () => {
+    it("lets exactly one of several concurrent changes succeed, and increases the version each time", () => {
       const property = fc.property(
         fc.array(fc.nat(5), { maxLength: 40 }),
         (lags) => {
@@ -93,7 +100,7 @@
           lags.forEach((lag) => {
             const version = record?.current.version ?? 0;
             const next = applyDocument(record, {
-              ...given,
+              ...baseChange,
               expectedVersion: Math.max(0, version - lag),
             });
             expect(next.isOk()).to.equal(lag === 0 || version === 0);
@@ -108,34 +115,43 @@
       fc.assert(property, { seed: 37 });
     });
 
-    it("tells the loser what changed since", () => {
-      const first = applyDocument(undefined, { ...given, expectedVersion: 0 })
+    it("reports in a conflict who changed the document and what changed", () => {
+      const first = applyDocument(undefined, {
+        ...baseChange,
+        expectedVersion: 0,
+      })
         ._unsafeUnwrap();
       const other = validateDocument(
-        change((copy) => copy.services[0].queue = { length: 9 }),
+        editExample((copy) => copy.services[0].queue = { length: 9 }),
       )._unsafeUnwrap();
       const second = applyDocument(first, {
-        ...given,
+        ...baseChange,
         document: other,
         author: "b",
         expectedVersion: 1,
       })._unsafeUnwrap();
-      const lost = applyDocument(second, { ...given, expectedVersion: 1 })
+      const conflict = applyDocument(second, {
+        ...baseChange,
+        expectedVersion: 1,
+      })
         ._unsafeUnwrapErr();
-      expect(lost.code).to.equal("conflict");
-      expect(lost.message).to.contain("by b").and.contain(
+      expect(conflict.code).to.equal("conflict");
+      expect(conflict.message).to.contain("by b").and.contain(
         "services.quote-desk.queue.length",
       );
     });
 
-    it("refuses another number of partitions, which would give keys a second owner", () => {
-      const first = applyDocument(undefined, { ...given, expectedVersion: 0 })
+    it("refuses a change of the number of partitions, which would give keys a second owner", () => {
+      const first = applyDocument(undefined, {
+        ...baseChange,
+        expectedVersion: 0,
+      })
         ._unsafeUnwrap();
-      const other = change((copy) =>
+      const other = editExample((copy) =>
         copy.services[0].partitions = 512
       ) as ConfigurationDocument;
       const refused = applyDocument(first, {
-        ...given,
+        ...baseChange,
         document: other,
         expectedVersion: 1,
       });
@@ -145,12 +161,12 @@
     });
   });
 
-  describe("comparison", () => {
-    it("shows an inserted service as one addition", () => {
-      const after = change((copy) =>
+  describe("compareDocuments", () => {
+    it("reports an inserted service as one addition", () => {
+      const after = editExample((copy) =>
         copy.services.unshift({ ...copy.services[0], name: "new" })
       );
-      expect(compareDocuments(atlas, after).map(({ path }) => path)).to.deep
+      expect(compareDocuments(example, after).map(({ path }) => path)).to.deep
         .equal(["services.new"]);
     });
   });
--- a/packages/ownership/src/end_evidence_test.ts
+++ b/packages/ownership/src/end_evidence_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the evidence that a session has ended.
+ * Tests of the computation of when sealed sessions have ended.
  *
  * @module
  */
@@ -23,25 +23,24 @@
   };
 }
 
-describe("evidence of an end", () => {
-  describe("of a lost witness", () => {
-    // Symptom: two owners of one key, seconds after two hosts were taken over, one after the other.
-    // Sequence: witness w is suspended, reads its record as open, and is sealed right after. Nobody had
-    // promised for it, so it has ended at once, and its record says so. Another planner then takes over
-    // from s, whose witness w still promises, on the strength of that reading.
-    // Cause: counting a session as silent from its end as an owner. What it may promise ends later.
-    it("waits for what the witness may still promise after its end", () => {
+describe("findEndTimes", () => {
+  describe("with a failed witness", () => {
+    // Guards against two owners of one key, seconds after takeovers of two hosts, one after the other. Witness w is
+    // suspended, reads its record as open and is sealed right after. No witness had promised to it, so it ends at
+    // once and is recorded as ended. Because of that read it may still promise to s when another planner takes over
+    // from s, if its promises are assumed to end together with its ownership.
+    it("waits for promises that the witness may still give after its end", () => {
       const lease = LeaseHolder.create(timing);
       lease.setWitnesses(["w", "x"]);
       const ledger = WitnessLedger.create(timing);
       ledger.confirmOpen(0);
       const sealedAtMs = 1;
       const lastRenewalMs = timing.promiseMs * (1 - timing.drift) - 1;
-      const answer = ledger.renew("s", {
+      const response = ledger.renew("s", {
         nowMs: lastRenewalMs,
         validUntilMs: -Infinity,
       });
-      expect(answer).to.equal("promised");
+      expect(response).to.equal("promised");
       lease.recordPromise("w", lastRenewalMs);
       const session = sealed("s", {
         witnesses: ["w", "x"],
@@ -55,29 +54,33 @@
     });
   });
 
-  describe("of a closed circle", () => {
-    const circle = (vouched: number | undefined) =>
+  describe("with sessions that are each other's witnesses", () => {
+    const mutualWitnesses = (endConfirmedAtMs: number | undefined) =>
       ["a", "b", "c"].map((id, index, all) =>
         sealed(id, {
           witnesses: all.filter((other) => other !== id),
-          endConfirmedAtMs: index === 0 ? vouched : undefined,
+          endConfirmedAtMs: index === 0 ? endConfirmedAtMs : undefined,
         })
       );
 
-    it("is never made up of its own members", () => {
-      expect(findEndTimes(circle(undefined), { ended: [], timing }).size).to
+    it("finds no end without other evidence", () => {
+      expect(
+        findEndTimes(mutualWitnesses(undefined), { ended: [], timing }).size,
+      ).to
         .equal(0);
     });
 
-    it("is not complete with one voucher where two refusals are needed", () => {
-      expect([...findEndTimes(circle(5), { ended: [], timing }).keys()]).to.deep
+    it("finds no further end from one confirmed end where two refusals are needed", () => {
+      expect([
+        ...findEndTimes(mutualWitnesses(5), { ended: [], timing }).keys(),
+      ]).to.deep
         .equal(["a"]);
     });
   });
 
-  describe("of a zone and one more host, lost at once", () => {
-    it("follows from those that live, through those that do not", () => {
-      // Two of five witnesses live; a third is lost too, but three others refuse that one.
+  describe("with an availability zone and another host that fail at once", () => {
+    it("finds the end through a failed witness that alive witnesses refuse", () => {
+      // Two of five witnesses are alive. A third one, d3, has failed too, but two of its own witnesses refuse it.
       const lost = sealed("lost", {
         witnesses: ["d1", "d2", "l1", "l2", "d3"],
         promiseEndsAtMs: new Map([["l1", 100], ["l2", 200]]),
@@ -92,8 +95,8 @@
     });
   });
 
-  describe("by a naive fixed point", () => {
-    it("is the same", () => {
+  describe("compared with a naive fixed point", () => {
+    it("finds the same ends", () => {
       const names = ["a", "b", "c", "d", "e"];
       const session = (id: string) =>
         fc.record({
@@ -125,10 +128,10 @@
   });
 });
 
-/** Settles the session with the earliest end first, one after the other. */
+/** Finds the ends one by one, the earliest first. */
 function findNaively(sessions: readonly SealedSession[]): Map<string, number> {
   const ends = new Map<string, number>();
-  const clearTime = (witness: string) => {
+  const promisesEndAtMs = (witness: string) => {
     const end = ends.get(witness);
     const seal = sessions.find(({ id }) => id === witness)?.sealedAtMs ??
       Infinity;
@@ -140,7 +143,7 @@
     const times = session.witnesses.map((witness) =>
       Math.min(
         session.promiseEndsAtMs.get(witness) ?? Infinity,
-        clearTime(witness),
+        promisesEndAtMs(witness),
       )
     ).sort((left, right) => left - right);
     const needed = times.length - Math.ceil(times.length / 2) + 1;
--- a/packages/ownership/src/ownership_safety_test.ts
+++ b/packages/ownership/src/ownership_safety_test.ts
@@ -1,6 +1,6 @@
 /**
- * Property tests of sole ownership over random interleavings, and of the properties themselves: each
- * broken variant of the rules must be noticed by them.
+ * Property tests of exclusive ownership over random interleavings. The properties are tested too: each variant with
+ * an injected fault must violate them.
  *
  * @module
  */
@@ -26,41 +26,41 @@
   return fc.record({ kind: fc.constant(kind), a: fc.nat(6), b: fc.nat(6), n });
 }
 
-/** Any one step. */
-const anything = fc.constantFrom(...STEP_KINDS).chain((kind) => stepOf(kind))
+/** A single step of any kind. */
+const anyStep = fc.constantFrom(...STEP_KINDS).chain((kind) => stepOf(kind))
   .map((each) => [each]);
-/** Promises are renewed while time passes. */
+/** Renews all promises, then advances the clock. */
 const renewal = fc.tuple(
   stepOf("renew_all"),
   stepOf("deliver_all"),
   stepOf("advance", fc.nat(400)),
 );
-/** The planner seals somebody, asks the witnesses and assigns at the first moment that it may. */
+/** The planner seals a session, asks its witnesses to refuse it and assigns the partition as early as permitted. */
 const takeover = fc.tuple(
   stepOf("seal"),
-  stepOf("ask_to_refuse"),
+  stepOf("request_refusals"),
   fc.constantFrom<StepKind>("deliver_all", "deliver", "renew_all").chain((
     kind,
   ) => stepOf(kind)),
   stepOf("deliver_all"),
   stepOf("advance", fc.integer({ min: 850, max: 1_000 })),
-  stepOf("creep", fc.constant(39)),
-  stepOf("creep", fc.constant(39)),
+  stepOf("advance_until_assigned", fc.constant(39)),
+  stepOf("advance_until_assigned", fc.constant(39)),
 );
-/** A change of witnesses whose write may be lost, and promises of the new set. */
+/** Changes witnesses with a write that may be lost, then renews the promises of the new set. */
 const change = fc.tuple(
   stepOf("change_witnesses"),
   stepOf("renew_all"),
   stepOf("deliver_all"),
 );
-/** A few daemons freeze, the others go on, and the frozen ones come back. */
-const freeze = fc.tuple(stepOf("timer"), stepOf("pause"), stepOf("pause"));
+/** Pauses up to two daemons while the others continue. */
+const freeze = fc.tuple(stepOf("run_timers"), stepOf("pause"), stepOf("pause"));
 
 const schedule = fc.record({
   size: fc.integer({ min: 2, max: 6 }),
   steps: fc.array(
     fc.oneof(
-      { arbitrary: anything, weight: 5 },
+      { arbitrary: anyStep, weight: 5 },
       { arbitrary: renewal, weight: 3 },
       { arbitrary: takeover, weight: 3 },
       { arbitrary: change, weight: 2 },
@@ -70,62 +70,62 @@
   ).map((parts) => parts.flat()),
 });
 
-function beginWorld(size: number, fault: Fault): SessionSimulation {
-  const world = SessionSimulation.create(size, fault);
-  world.heal(0.3);
-  return world;
+function createSimulation(size: number, fault: Fault): SessionSimulation {
+  const simulation = SessionSimulation.create(size, fault);
+  simulation.runWithoutFailures(0.3);
+  return simulation;
 }
 
-/** The promise: at no moment would two sessions hand a request for the same key over. */
-function neverTwoOwners(fault: Fault) {
+/** The guarantee: at no time would two sessions dispatch requests for the same key. */
+function hasAtMostOneOwner(fault: Fault) {
   return fc.property(schedule, ({ size, steps }) => {
-    const world = beginWorld(size, fault);
+    const simulation = createSimulation(size, fault);
     steps.forEach((each) => {
-      world.step(each);
-      expect(world.owners(), `owners after ${each.kind}`).to.have.length.at
+      simulation.step(each);
+      expect(simulation.owners(), `owners after ${each.kind}`).to.have.length.at
         .most(1);
     });
   });
 }
 
-describe("sole ownership", () => {
-  describe("under pauses, cuts, restarts, lost, doubled and crossed messages", () => {
-    it("has at most one owner at every step", () => {
-      fc.assert(neverTwoOwners("none"), { seed: SEED, numRuns: RUNS });
+describe("exclusive ownership", () => {
+  describe("with pauses, restarts and lost, duplicated and reordered messages", () => {
+    it("has at most one owner after each step", () => {
+      fc.assert(hasAtMostOneOwner("none"), { seed: SEED, numRuns: RUNS });
     }).timeout(60_000);
 
-    it("has an owner again once the failures end", () => {
+    it("has an owner again after the failures end", () => {
       const property = fc.property(schedule, ({ size, steps }) => {
-        const world = beginWorld(size, "none");
-        steps.forEach((each) => world.step(each));
-        world.heal(8);
-        expect(world.owners()).to.deep.equal([world.tableOwner]);
+        const simulation = createSimulation(size, "none");
+        steps.forEach((each) => simulation.step(each));
+        simulation.runWithoutFailures(8);
+        expect(simulation.owners()).to.deep.equal([simulation.tableOwner]);
       });
       fc.assert(property, { seed: SEED, numRuns: 400 });
     }).timeout(60_000);
   });
 
-  describe("with one rule broken, is caught by the same property", () => {
-    // Symptom: two daemons hand requests for one key to two backend servers.
-    // Sequence: each variant leaves one rule out; the schedules are those of the test above.
-    // Cause: the rule that is left out; if a variant passed, the property would prove nothing of it.
-    const broken: Record<Exclude<Fault, "none">, string> = {
-      no_wait: "a takeover that does not wait for promises to run out",
+  describe("with one rule broken, violates the same property", () => {
+    // Guards against a property that proves nothing: each variant omits one rule, so that two daemons dispatch
+    // requests for one key to two backend servers, and the schedules of the test above must reveal it.
+    const variants: Record<Exclude<Fault, "none">, string> = {
+      no_wait: "a takeover that does not wait for promises to expire",
       no_seal: "a takeover that does not seal the session first",
-      forgetful_witness: "a witness that restarts and forgets whom it refused",
-      timer_expiry: "an owner that looks at the clock by a timer",
+      witness_without_memory: "a witness that loses its refusals in a restart",
+      timer_expiry:
+        "an owner that checks the expiry of its lease only when a timer fires",
       promises_while_invalid:
-        "a witness that promises while it is not valid itself",
+        "a witness that promises while its own lease is invalid",
       one_set_in_change:
-        "an owner that counts only its new witnesses before the store has answered",
-      ignores_drift: "clocks that drift without an allowance",
-      unanimous_by_one: "a planner that is content with one refusal",
+        "an owner that counts only its new witnesses before the store has responded",
+      ignores_drift: "clocks that drift without a safety margin",
+      single_refusal: "a planner that requires only one refusal",
       release_of_any_token:
-        "a planner that takes an old release for one of the current assignment",
+        "a planner that treats the release of an earlier assignment as one of the current assignment",
     };
-    Object.entries(broken).forEach(([fault, name]) => {
+    Object.entries(variants).forEach(([fault, name]) => {
       it(name, () => {
-        const result = fc.check(neverTwoOwners(fault as Fault), {
+        const result = fc.check(hasAtMostOneOwner(fault as Fault), {
           seed: SEED,
           numRuns: RUNS * 4,
           endOnFailure: true,
--- a/packages/ownership/src/stall_recovery_test.ts
+++ b/packages/ownership/src/stall_recovery_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of how soon sessions serve again after all of them were paused for longer than a promise.
+ * Tests of how soon sessions serve again after all of them were paused for longer than a promise is valid.
  *
  * @module
  */
@@ -11,19 +11,19 @@
 const SESSIONS = 12;
 const WITNESSES = 5;
 const TICK_MS = 50;
-/** One way between two daemons. */
-const MESSAGE_MS = 5;
-const STORE_MS = 30;
+/** One-way latency between two daemons. */
+const MESSAGE_LATENCY_MS = 5;
+const STORE_LATENCY_MS = 30;
 const STALL_MS = 1_200;
-const SILENT_MS = 100;
+const UNRESPONSIVE_TIMEOUT_MS = 100;
 
 interface Event {
   readonly atMs: number;
   readonly run: () => void;
 }
 
-/** Twelve daemons with the real decision code, a control loop each, and a store that answers late. */
-class StallWorld {
+/** Simulates twelve daemons that run the real decision code, each with a control loop, and a store with latency. */
+class StallSimulation {
   private now = 0;
   private events: Event[] = [];
   private readonly sessions = Array.from({ length: SESSIONS }, (_, index) => {
@@ -35,47 +35,56 @@
       ),
     );
     const ledger = WitnessLedger.create(DEFAULT_TIMING);
-    return { lease, ledger, nextConfirmMs: 0, sent: 0, isLost: false };
+    return {
+      lease,
+      ledger,
+      nextConfirmAtMs: 0,
+      sentRenewals: 0,
+      isStopped: false,
+    };
   });
-  /** Who was called silent, by whom. */
+  /** Sessions reported as unresponsive, with the witness and the time of the report. */
   readonly suspicions: { witness: string; session: string; atMs: number }[] =
     [];
 
-  /** How many sessions may serve. */
+  /** Number of sessions whose lease is valid. */
   get validCount(): number {
     return this.sessions.filter(({ lease }) => this.now < lease.validUntil)
       .length;
   }
 
-  /** Renewals sent so far. */
+  /** Number of renewals sent so far. */
   get sentCount(): number {
-    return this.sessions.reduce((sum, { sent }) => sum + sent, 0);
+    return this.sessions.reduce(
+      (sum, { sentRenewals }) => sum + sentRenewals,
+      0,
+    );
   }
 
-  /** The clock. */
+  /** Current time in milliseconds. */
   get nowMs(): number {
     return this.now;
   }
 
-  /** Ends one daemon. */
-  lose(index: number): void {
-    this.session(index).isLost = true;
+  /** Stops one daemon. */
+  stop(index: number): void {
+    this.session(index).isStopped = true;
   }
 
-  /** Time passes while nobody runs. */
+  /** Advances the clock while all daemons are paused. */
   stall(milliseconds: number): void {
     this.now += milliseconds;
   }
 
   /**
-   * Lets daemons work for a while.
+   * Runs the daemons for a duration.
    *
-   * @param options.storeIsUp without the store no session may promise before it is valid itself.
+   * @param options.storeIsUp without the store, no session may promise before its own lease is valid.
    */
   run(milliseconds: number, options = { storeIsUp: true }): void {
     const end = this.now + milliseconds;
     this.sessions.forEach((_, index) =>
-      this.at(this.now + index * 3, () => this.tick(index, options))
+      this.schedule(this.now + index * 3, () => this.tick(index, options))
     );
     for (
       let event = this.nextEvent(end);
@@ -98,28 +107,34 @@
 
   private tick(index: number, options: { storeIsUp: boolean }): void {
     const session = this.session(index);
-    if (session.isLost) {
+    if (session.isStopped) {
       return;
     }
     session.lease.dueRenewals(this.now).forEach((witness) =>
       this.renew(index, witness)
     );
     session.ledger.recordStep(this.now);
-    session.ledger.findUnresponsive(this.now, SILENT_MS).forEach((silent) =>
+    session.ledger.findUnresponsive(this.now, UNRESPONSIVE_TIMEOUT_MS).forEach((
+      unresponsive,
+    ) =>
       this.suspicions.push({
         witness: String(index),
-        session: silent.session,
+        session: unresponsive.session,
         atMs: this.now,
       })
     );
-    const confirms = options.storeIsUp &&
-      this.now >= session.lease.validUntil && this.now >= session.nextConfirmMs;
-    if (confirms) {
-      session.nextConfirmMs = this.now + DEFAULT_TIMING.promiseMs / 2;
+    const shouldConfirm = options.storeIsUp &&
+      this.now >= session.lease.validUntil &&
+      this.now >= session.nextConfirmAtMs;
+    if (shouldConfirm) {
+      session.nextConfirmAtMs = this.now + DEFAULT_TIMING.promiseMs / 2;
       const sentAtMs = this.now;
-      this.at(this.now + STORE_MS, () => session.ledger.confirmOpen(sentAtMs));
+      this.schedule(
+        this.now + STORE_LATENCY_MS,
+        () => session.ledger.confirmOpen(sentAtMs),
+      );
     }
-    this.at(this.now + TICK_MS, () => this.tick(index, options));
+    this.schedule(this.now + TICK_MS, () => this.tick(index, options));
   }
 
   private renew(index: number, witness: string): void {
@@ -127,17 +142,17 @@
     const peer = this.session(Number(witness));
     const sentAtMs = this.now;
     lease.markSent(witness, sentAtMs);
-    this.session(index).sent += 1;
-    this.at(this.now + MESSAGE_MS, () => {
-      if (peer.isLost) {
+    this.session(index).sentRenewals += 1;
+    this.schedule(this.now + MESSAGE_LATENCY_MS, () => {
+      if (peer.isStopped) {
         return;
       }
-      const answer = peer.ledger.renew(String(index), {
+      const response = peer.ledger.renew(String(index), {
         nowMs: this.now,
         validUntilMs: peer.lease.validUntil,
       });
-      this.at(this.now + MESSAGE_MS, () => {
-        if (answer === "promised") {
+      this.schedule(this.now + MESSAGE_LATENCY_MS, () => {
+        if (response === "promised") {
           lease.recordPromise(witness, sentAtMs);
         } else {
           lease.recordNotPermitted(witness, this.now);
@@ -150,67 +165,67 @@
     return this.sessions[index] as typeof this.sessions[number];
   }
 
-  private at(atMs: number, run: () => void): void {
+  private schedule(atMs: number, run: () => void): void {
     this.events.push({ atMs, run });
   }
 }
 
 describe("recovery after a stall", () => {
-  // Guards against owners that refuse all requests for 0.4 s after a pause of the whole machine: the first
-  // renewals meet witnesses that are about to read the store, and the next ones came a regular renewal later.
-  it("all serve again before a regular renewal is due", () => {
-    const world = new StallWorld();
-    world.run(3_000);
-    expect(world.validCount).to.equal(SESSIONS);
-    world.stall(STALL_MS);
-    expect(world.validCount).to.equal(0);
-    world.run(DEFAULT_TIMING.renewIntervalMs / 2);
-    expect(world.validCount).to.equal(SESSIONS);
+  // Guards against owners that refuse all requests for 0.4 s after a pause of the whole machine: the first renewals
+  // reach witnesses that have yet to read the store, and the next ones follow only a regular renewal interval later.
+  it("lets all sessions serve again before a regular renewal is due", () => {
+    const simulation = new StallSimulation();
+    simulation.run(3_000);
+    expect(simulation.validCount).to.equal(SESSIONS);
+    simulation.stall(STALL_MS);
+    expect(simulation.validCount).to.equal(0);
+    simulation.run(DEFAULT_TIMING.renewIntervalMs / 2);
+    expect(simulation.validCount).to.equal(SESSIONS);
   });
 
-  // Guards against a takeover of all daemons of a machine that stood still: each witness found the promises
-  // that it had given run out, before it had read a single renewal, and told the planner.
-  it("nobody is called silent who lives", () => {
-    const world = new StallWorld();
-    world.run(3_000);
-    world.stall(STALL_MS);
-    world.run(5_000);
-    expect(world.suspicions).to.deep.equal([]);
+  // Guards against a takeover of all daemons of a machine that stalled: each witness finds the promises that it has
+  // given expired, before it has read a single renewal, and reports this to the planner.
+  it("reports no alive session as unresponsive", () => {
+    const simulation = new StallSimulation();
+    simulation.run(3_000);
+    simulation.stall(STALL_MS);
+    simulation.run(5_000);
+    expect(simulation.suspicions).to.deep.equal([]);
   });
 
-  it("who was lost in the stall is called silent by all its witnesses", () => {
-    const world = new StallWorld();
-    world.run(3_000);
-    world.lose(0);
-    world.stall(STALL_MS);
-    const wokeAtMs = world.nowMs;
-    world.run(2 * DEFAULT_TIMING.promiseMs);
-    const early = world.suspicions.filter(({ atMs }) =>
-      atMs - wokeAtMs <= 1.5 * DEFAULT_TIMING.promiseMs
+  it("reports a session lost in the stall by all its witnesses", () => {
+    const simulation = new StallSimulation();
+    simulation.run(3_000);
+    simulation.stop(0);
+    simulation.stall(STALL_MS);
+    const resumedAtMs = simulation.nowMs;
+    simulation.run(2 * DEFAULT_TIMING.promiseMs);
+    const timely = simulation.suspicions.filter(({ atMs }) =>
+      atMs - resumedAtMs <= 1.5 * DEFAULT_TIMING.promiseMs
     );
-    expect(new Set(world.suspicions.map(({ session }) => session))).to.deep
+    expect(new Set(simulation.suspicions.map(({ session }) => session))).to.deep
       .equal(new Set(["0"]));
-    expect(new Set(early.map(({ witness }) => witness)).size).to.equal(
+    expect(new Set(timely.map(({ witness }) => witness)).size).to.equal(
       WITNESSES,
     );
   });
 
-  it("who is lost without a stall is called silent as soon as its promises ran out", () => {
-    const world = new StallWorld();
-    world.run(3_000);
-    world.lose(0);
-    world.run(1.5 * DEFAULT_TIMING.promiseMs);
-    expect(new Set(world.suspicions.map(({ witness }) => witness)).size).to
+  it("reports a session lost without a stall as soon as its promises have expired", () => {
+    const simulation = new StallSimulation();
+    simulation.run(3_000);
+    simulation.stop(0);
+    simulation.run(1.5 * DEFAULT_TIMING.promiseMs);
+    expect(new Set(simulation.suspicions.map(({ witness }) => witness)).size).to
       .equal(WITNESSES);
   });
 
-  it("asks witnesses that stay unable to promise at most three times more", () => {
-    const world = new StallWorld();
-    world.run(10_000, { storeIsUp: false });
+  it("sends at most three additional renewals to a witness that stays unable to promise", () => {
+    const simulation = new StallSimulation();
+    simulation.run(10_000, { storeIsUp: false });
     const regular = SESSIONS * WITNESSES *
       (10_000 / DEFAULT_TIMING.renewIntervalMs + 1);
-    expect(world.validCount).to.equal(0);
-    expect(world.sentCount).to.be.within(
+    expect(simulation.validCount).to.equal(0);
+    expect(simulation.sentCount).to.be.within(
       1,
       regular + 3 * SESSIONS * WITNESSES,
     );
--- a/packages/ownership/src/testing/session_simulation.ts
+++ b/packages/ownership/src/testing/session_simulation.ts
@@ -1,7 +1,7 @@
 /**
- * A small world for property tests of ownership: the real decision code of several sessions and two
- * planners, with clocks that drift, a store with compare-and-swap, and messages that are delayed, lost,
- * doubled and crossed. One partition is owned.
+ * Simulation for property tests of ownership: it runs the real decision code of several sessions and two planners,
+ * with clocks that drift, a store with compare-and-swap, and messages that are delayed, lost, duplicated and
+ * reordered. There is one partition.
  *
  * @module
  */
@@ -11,20 +11,20 @@
 import type { LeaseTiming } from "../timing.ts";
 import { WitnessLedger } from "../witness_ledger.ts";
 
-/** Ways to break the rules on purpose; the properties must notice each. */
+/** Injected faults, each of which breaks one rule and must violate the tested properties. */
 export type Fault =
   | "none"
   | "no_wait"
   | "no_seal"
-  | "forgetful_witness"
+  | "witness_without_memory"
   | "timer_expiry"
   | "promises_while_invalid"
   | "one_set_in_change"
   | "ignores_drift"
-  | "unanimous_by_one"
+  | "single_refusal"
   | "release_of_any_token";
 
-/** One step of a schedule. What its numbers mean depends on the kind; they are taken modulo sizes. */
+/** One step of a schedule. The meaning of its numbers depends on the kind; indices are taken modulo the sizes. */
 export interface Step {
   readonly kind: StepKind;
   readonly a: number;
@@ -40,17 +40,17 @@
   "deliver",
   "deliver_all",
   "drop",
-  "double",
+  "duplicate",
   "pause",
   "resume",
   "restart",
   "change_witnesses",
   "confirm_open",
   "seal",
-  "ask_to_refuse",
+  "request_refusals",
   "plan",
-  "timer",
-  "creep",
+  "run_timers",
+  "advance_until_assigned",
   "hand_over",
 ] as const;
 /** Kind of a step. */
@@ -61,19 +61,19 @@
   readonly lease: LeaseHolder;
   ledger: WitnessLedger;
   proposed: (readonly string[])[];
-  settled: { witnesses: readonly string[]; revision: number };
+  acknowledged: { witnesses: readonly string[]; revision: number };
   /**
-   * Tokens of assignments that were not given up. The worst case of an old table: what was once assigned
-   * is believed for ever.
+   * Tokens of the assignments that the session has not released. This simulates the worst case of an outdated table:
+   * the session assumes an assignment until it releases it.
    */
   readonly tokens: Set<number>;
-  /** Only for the broken variant that looks at the clock by a timer. */
-  timerSaysValid: boolean;
+  /** Used only with the fault `timer_expiry`: whether the lease was valid when the timer last fired. */
+  wasValidAtTimer: boolean;
 }
 
 interface SimulatedNode {
-  readonly rate: number;
-  readonly offset: number;
+  readonly clockRate: number;
+  readonly clockOffsetMs: number;
   paused: boolean;
   session: SimulatedSession;
 }
@@ -88,15 +88,15 @@
   revision: number;
 }
 
-/** Length of a small step of time, in milliseconds. */
-const CREEP_MS = 3;
-const CREEP_STEPS = 40;
-/** Two clocks of the world differ in rate by at most this. */
-const REAL_DRIFT = 0.02;
+/** Time between two attempts of the planner to assign, in milliseconds. */
+const SMALL_STEP_MS = 3;
+const MAX_SMALL_STEPS = 40;
+/** Maximum difference between the rates of two clocks, as a share. */
+const MAX_CLOCK_DRIFT = 0.02;
 
-/** The world. */
+/** Simulation of several sessions, two planners and a store. */
 export class SessionSimulation {
-  private now = 0;
+  private nowMs = 0;
   private revision = 1;
   private nextId = 0;
   private readonly nodes: SimulatedNode[];
@@ -106,43 +106,43 @@
     owner: undefined,
     token: 0,
   };
-  private readonly books: TakeoverTracker[];
+  private readonly takeoverTrackers: TakeoverTracker[];
   private readonly timing: LeaseTiming;
 
   private constructor(size: number, private readonly fault: Fault) {
     this.timing = {
       promiseMs: 1_000,
       renewIntervalMs: 250,
-      drift: fault === "ignores_drift" ? 0 : REAL_DRIFT,
+      drift: fault === "ignores_drift" ? 0 : MAX_CLOCK_DRIFT,
     };
     this.nodes = Array.from({ length: size }, (_, index) => ({
-      rate: 1 + (REAL_DRIFT / 2) * (index % 3 - 1),
-      offset: index * 10_000,
+      clockRate: 1 + (MAX_CLOCK_DRIFT / 2) * (index % 3 - 1),
+      clockOffsetMs: index * 10_000,
       paused: false,
-      session: this.makeSession(index, {
+      session: this.createSession(index, {
         witnesses: this.othersOf(index, size),
         replaces: [],
       }),
     }));
-    this.books = [
+    this.takeoverTrackers = [
       TakeoverTracker.create(this.timing),
       TakeoverTracker.create(this.timing),
     ];
   }
 
-  /** Creates a world in which every node is a witness of its neighbours and nobody owns anything. */
+  /** Creates a simulation of `size` nodes that are witnesses of each other; the partition has no owner. */
   static create(size: number, fault: Fault): SessionSimulation {
     return new SessionSimulation(size, fault);
   }
 
-  /** Makes one step. */
+  /** Executes one step. */
   step(step: Step): void {
     const index = step.a % this.nodes.length;
     const node = this.nodes[index] as SimulatedNode;
     const other = step.b % this.nodes.length;
     switch (step.kind) {
       case "advance":
-        this.now += step.n;
+        this.nowMs += step.n;
         break;
       case "renew":
         this.sendRenewal(index, step.b);
@@ -159,8 +159,8 @@
       case "drop":
         this.messages.splice(step.n % Math.max(1, this.messages.length), 1);
         break;
-      case "double":
-        this.double(step.n);
+      case "duplicate":
+        this.duplicate(step.n);
         break;
       case "pause":
         node.paused = true;
@@ -184,19 +184,19 @@
             : (this.nodes[other] as SimulatedNode).session.id,
         );
         break;
-      case "ask_to_refuse":
-        this.askToRefuse(index);
+      case "request_refusals":
+        this.requestRefusals(index);
         break;
       case "plan":
         this.plan(index, step.n);
         break;
-      case "creep":
-        this.creep(index, step.n);
+      case "advance_until_assigned":
+        this.advanceUntilAssigned(index, step.n);
         break;
       case "hand_over":
         this.handOver(index, step.n);
         break;
-      case "timer":
+      case "run_timers":
         this.nodes.filter(({ paused }) => !paused).forEach((each) =>
           this.runTimer(each)
         );
@@ -204,7 +204,7 @@
     }
   }
 
-  /** Sessions that would hand a request over right now. */
+  /** Returns the sessions that would dispatch a request now. */
   owners(): string[] {
     return this.nodes
       .filter((node) =>
@@ -213,16 +213,16 @@
       .map((node) => node.session.id);
   }
 
-  /** The session that the table names. */
+  /** The owner according to the ownership table. */
   get tableOwner(): string | undefined {
     return this.table.owner;
   }
 
-  /** Lets everything run well for a while: all resume, messages arrive, the planner works. */
-  heal(seconds: number): void {
+  /** Runs for a number of simulated seconds without failures: nodes resume, messages arrive, the planner runs. */
+  runWithoutFailures(seconds: number): void {
     this.nodes.forEach((node) => node.paused = false);
     for (let elapsed = 0; elapsed < seconds * 1_000; elapsed += 100) {
-      this.now += 100;
+      this.nowMs += 100;
       this.nodes.forEach((_, index) => {
         this.replaceWitnesses(index);
         this.confirmOpen(index);
@@ -235,15 +235,15 @@
         }
       });
       this.sealReplaced();
-      this.askToRefuse(0);
+      this.requestRefusals(0);
       this.deliverAll();
       this.plan(0, elapsed);
-      this.repairRelease();
+      this.finishRelease();
     }
   }
 
-  /** An owner that gave its assignment up reports so, and the planner finishes the handover. */
-  private repairRelease(): void {
+  /** Lets an owner that has released its assignment report this, so that the planner finishes the handover. */
+  private finishRelease(): void {
     const holder = this.nodes.find((node) =>
       node.session.id === this.table.owner
     );
@@ -254,17 +254,17 @@
 
   private isValid(node: SimulatedNode): boolean {
     return this.fault === "timer_expiry"
-      ? node.session.timerSaysValid
-      : this.clock(node) < node.session.lease.validUntil;
+      ? node.session.wasValidAtTimer
+      : this.clockMs(node) < node.session.lease.validUntil;
   }
 
   private runTimer(node: SimulatedNode): void {
-    node.session.timerSaysValid =
-      this.clock(node) < node.session.lease.validUntil;
+    node.session.wasValidAtTimer =
+      this.clockMs(node) < node.session.lease.validUntil;
   }
 
-  private clock(node: SimulatedNode): number {
-    return node.offset + node.rate * this.now;
+  private clockMs(node: SimulatedNode): number {
+    return node.clockOffsetMs + node.clockRate * this.nowMs;
   }
 
   private othersOf(index: number, size: number): string[] {
@@ -274,7 +274,7 @@
       .slice(0, 5);
   }
 
-  private makeSession(
+  private createSession(
     host: number,
     options: { witnesses: readonly string[]; replaces: readonly string[] },
   ): SimulatedSession {
@@ -308,9 +308,9 @@
       lease,
       ledger: WitnessLedger.create(this.timing),
       proposed: [],
-      settled: { witnesses: record.witnesses, revision: this.revision },
+      acknowledged: { witnesses: record.witnesses, revision: this.revision },
       tokens: new Set(),
-      timerSaysValid: false,
+      wasValidAtTimer: false,
     };
   }
 
@@ -331,17 +331,17 @@
     if (node.paused || witness === undefined) {
       return;
     }
-    const sentAtMs = this.clock(node);
+    const sentAtMs = this.clockMs(node);
     this.sendToWitness(witness, (peer) => {
       const validUntilMs = this.fault === "promises_while_invalid"
         ? Infinity
         : peer.session.lease.validUntil;
-      const answer = peer.session.ledger.renew(session.id, {
-        nowMs: this.clock(peer),
+      const response = peer.session.ledger.renew(session.id, {
+        nowMs: this.clockMs(peer),
         validUntilMs,
       });
       this.send(index, () => {
-        if (node.session === session && answer === "promised") {
+        if (node.session === session && response === "promised") {
           session.lease.recordPromise(witness, sentAtMs);
         }
       });
@@ -350,7 +350,7 @@
 
   private restart(index: number): void {
     const node = this.nodes[index] as SimulatedNode;
-    if (this.fault === "forgetful_witness") {
+    if (this.fault === "witness_without_memory") {
       node.session.ledger = WitnessLedger.create(this.timing);
       return;
     }
@@ -359,13 +359,13 @@
       other.session.id
     );
     node.paused = false;
-    node.session = this.makeSession(index, {
+    node.session = this.createSession(index, {
       witnesses: alive.slice(0, 5),
       replaces: [old.id],
     });
   }
 
-  /** Proposes other witnesses; the write and its answer are messages like others. */
+  /** Proposes other witnesses. The write and its response are messages that can be delayed or lost. */
   private changeWitnesses(
     index: number,
     options: { choice: number; lost: boolean },
@@ -386,12 +386,12 @@
     session.proposed.push(next);
     const sets = this.fault === "one_set_in_change"
       ? [next]
-      : [session.settled.witnesses, ...session.proposed];
+      : [session.acknowledged.witnesses, ...session.proposed];
     session.lease.setWitnesses(...sets);
     if (options.lost) {
       return;
     }
-    const expected = session.settled.revision;
+    const expected = session.acknowledged.revision;
     this.send(-1, () => {
       const stored = this.stored.get(session.id) as StoredSession;
       const applied = stored.revision === expected &&
@@ -407,9 +407,9 @@
       this.send(index, () => {
         if (
           applied && node.session === session &&
-          revision > session.settled.revision
+          revision > session.acknowledged.revision
         ) {
-          session.settled = { witnesses: next, revision };
+          session.acknowledged = { witnesses: next, revision };
           session.proposed = [];
           session.lease.setWitnesses(next);
         }
@@ -417,13 +417,13 @@
     });
   }
 
-  /** Names all others, where a witness is not there any more. */
+  /** Proposes all other nodes as witnesses if a current witness has stopped. */
   private replaceWitnesses(index: number): void {
     const { session } = this.nodes[index] as SimulatedNode;
     const alive = this.nodes.map((node) => node.session.id);
     if (
       session.proposed.length > 0 ||
-      session.settled.witnesses.some((witness) => !alive.includes(witness))
+      session.acknowledged.witnesses.some((witness) => !alive.includes(witness))
     ) {
       this.changeWitnesses(index, { choice: 0b111111, lost: false });
     }
@@ -435,7 +435,7 @@
     if (node.paused) {
       return;
     }
-    const sentAtMs = this.clock(node);
+    const sentAtMs = this.clockMs(node);
     this.send(-1, () => {
       const open = this.stored.get(session.id)?.record.state === "open";
       this.send(index, () => {
@@ -464,29 +464,29 @@
     });
   }
 
-  /** The planner on a node asks all witnesses of all cases. */
-  private askToRefuse(index: number): void {
-    const planner = index % this.books.length;
+  /** Lets the planner of a node request the missing refusals of all takeovers. */
+  private requestRefusals(index: number): void {
+    const planner = index % this.takeoverTrackers.length;
     const node = this.nodes[planner] as SimulatedNode;
-    const book = this.books[planner] as TakeoverTracker;
+    const tracker = this.takeoverTrackers[planner] as TakeoverTracker;
     if (node.paused) {
       return;
     }
-    this.observe(book, node);
-    book.pendingRefusals().forEach((sessions, witness) => {
+    this.observe(tracker, node);
+    tracker.pendingRefusals().forEach((sessions, witness) => {
       this.sendToWitness(witness, (peer) => {
         const refusals = sessions.map((session) => ({
           session,
-          remainingMs: peer.session.ledger.refuse(session, this.clock(peer)),
+          remainingMs: peer.session.ledger.refuse(session, this.clockMs(peer)),
         }));
         this.send(
           planner,
           () =>
             refusals.forEach(({ session, remainingMs }) =>
-              book.recordRefusal(session, {
+              tracker.recordRefusal(session, {
                 witness,
                 remainingMs: this.fault === "no_wait" ? 0 : remainingMs,
-                nowMs: this.clock(node),
+                nowMs: this.clockMs(node),
               })
             ),
         );
@@ -494,50 +494,52 @@
     });
   }
 
-  private observe(book: TakeoverTracker, node: SimulatedNode): void {
+  private observe(tracker: TakeoverTracker, node: SimulatedNode): void {
     const records = [...this.stored.values()].map(({ record }) => record);
-    const nowMs = this.clock(node);
-    const seen = this.fault === "no_seal"
+    const nowMs = this.clockMs(node);
+    const observed = this.fault === "no_seal"
       ? records.map((record) =>
         record.id === this.table.owner
           ? { ...record, state: "sealed" as const }
           : record
       )
       : records;
-    book.observe(
-      this.fault === "unanimous_by_one" ? seen.map(trustOneWitness) : seen,
+    tracker.observe(
+      this.fault === "single_refusal"
+        ? observed.map(requireOneRefusal)
+        : observed,
       nowMs,
     );
   }
 
-  /** The planner on a node works through its book and assigns the partition if it may. */
+  /** Lets the planner of a node advance its takeovers and assign the partition if permitted. */
   private plan(index: number, choice: number): void {
-    const planner = index % this.books.length;
+    const planner = index % this.takeoverTrackers.length;
     const node = this.nodes[planner] as SimulatedNode;
-    const book = this.books[planner] as TakeoverTracker;
+    const tracker = this.takeoverTrackers[planner] as TakeoverTracker;
     if (node.paused) {
       return;
     }
-    this.observe(book, node);
-    book.advance(this.clock(node));
+    this.observe(tracker, node);
+    tracker.advance(this.clockMs(node));
     const { owner } = this.table;
-    book.replaceable().filter((id) => id !== owner).forEach((id) =>
-      this.end(id)
+    tracker.replaceable().filter((id) => id !== owner).forEach((id) =>
+      this.recordEnd(id)
     );
-    if (owner !== undefined && !book.mayReplace(owner)) {
+    if (owner !== undefined && !tracker.mayReplace(owner)) {
       return;
     }
     const open = this.nodes.filter((other) =>
       this.stored.get(other.session.id)?.record.state === "open"
     );
-    const taker = open[choice % Math.max(1, open.length)];
-    if (taker !== undefined) {
-      this.assign(taker);
+    const recipient = open[choice % Math.max(1, open.length)];
+    if (recipient !== undefined) {
+      this.assign(recipient);
     }
   }
 
-  /** Writes that a session has ended, which is evidence for takeovers of those it witnessed for. */
-  private end(id: string): void {
+  /** Records in the store that a session has ended, which is evidence for takeovers of sessions it is a witness of. */
+  private recordEnd(id: string): void {
     const stored = this.stored.get(id);
     if (stored?.record.state === "sealed") {
       this.revision += 1;
@@ -548,25 +550,25 @@
     }
   }
 
-  private assign(taker: SimulatedNode): void {
-    this.table = { owner: taker.session.id, token: this.table.token + 1 };
-    taker.session.tokens.add(this.table.token);
+  private assign(recipient: SimulatedNode): void {
+    this.table = { owner: recipient.session.id, token: this.table.token + 1 };
+    recipient.session.tokens.add(this.table.token);
   }
 
-  /** Time passes in small steps until the planner assigns, so that it assigns as early as it may. */
-  private creep(index: number, choice: number): void {
+  /** Advances the clock in small steps until the planner assigns, so that it does so as early as permitted. */
+  private advanceUntilAssigned(index: number, choice: number): void {
     const before = this.table.token;
     for (
       let count = 0;
-      count < choice % CREEP_STEPS && this.table.token === before;
+      count < choice % MAX_SMALL_STEPS && this.table.token === before;
       count += 1
     ) {
-      this.now += CREEP_MS;
+      this.nowMs += SMALL_STEP_MS;
       this.plan(index, choice);
     }
   }
 
-  /** A planned handover: the owner gives its assignment up, then another gets the partition. */
+  /** Starts a planned handover: the owner releases its assignment, then another session gets the partition. */
   private handOver(index: number, choice: number): void {
     const { owner, token } = this.table;
     const holder = this.nodes.findIndex((node) => node.session.id === owner);
@@ -580,19 +582,21 @@
       }
       session.tokens.delete(token);
       this.send(index, () => {
-        const taker = this.nodes[choice % this.nodes.length] as SimulatedNode;
+        const recipient = this
+          .nodes[choice % this.nodes.length] as SimulatedNode;
         const current = this.fault === "release_of_any_token" ||
           this.table.token === token;
         if (
-          current && this.stored.get(taker.session.id)?.record.state === "open"
+          current &&
+          this.stored.get(recipient.session.id)?.record.state === "open"
         ) {
-          this.assign(taker);
+          this.assign(recipient);
         }
       });
     });
   }
 
-  /** A witness is named by session: one that restarted meanwhile is not the one that was asked. */
+  /** Sends to a witness by session id; the message is dropped if that node has started a new session meanwhile. */
   private sendToWitness(
     witness: string,
     run: (peer: SimulatedNode) => void,
@@ -642,7 +646,7 @@
     }
   }
 
-  private double(choice: number): void {
+  private duplicate(choice: number): void {
     const message = this.messages[choice % Math.max(1, this.messages.length)];
     if (message !== undefined) {
       this.messages.push({ ...message });
@@ -650,8 +654,8 @@
   }
 }
 
-/** A broken planner that is content with one refusal. */
-function trustOneWitness(record: SessionRecord): SessionRecord {
+/** Implements the fault `single_refusal`: only the first witness of a sealed session has to refuse. */
+function requireOneRefusal(record: SessionRecord): SessionRecord {
   return record.state === "sealed"
     ? { ...record, witnesses: record.witnesses.slice(0, 1) }
     : record;
--- a/packages/routing/src/routing_test.ts
+++ b/packages/routing/src/routing_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of matching and of the look-up of owners, against a naive look-up.
+ * Tests of request matching, and of the lookup of owners compared with a naive lookup.
  *
  * @module
  */
@@ -52,7 +52,7 @@
 };
 
 describe("routing", () => {
-  describe("request matcher", () => {
+  describe("RequestMatcher", () => {
     const matcher = RequestMatcher.create(document);
     const match = (
       method: string,
@@ -60,7 +60,7 @@
       headers: Record<string, string | string[]> = {},
     ) => matcher.match({ method, url, headers });
 
-    it("finds the key in path, query and header", () => {
+    it("reads the key from the path, the query or a header", () => {
       expect(match("GET", "/quotes/BC%20547?x=1")._unsafeUnwrap().key).to.equal(
         "BC 547",
       );
@@ -72,7 +72,7 @@
       ).to.equal("BC547");
     });
 
-    it("says what is missing", () => {
+    it("reports what is missing", () => {
       expect(match("GET", "/nowhere")._unsafeUnwrapErr().code).to.equal(
         "not_found",
       );
@@ -90,7 +90,7 @@
       );
     });
 
-    it("takes any bytes for a request line without throwing", () => {
+    it("accepts any method and URL without throwing", () => {
       const property = fc.property(fc.string(), fc.string(), (method, url) => {
         match(method, `/${url}`);
       });
@@ -98,13 +98,13 @@
     });
   });
 
-  describe("partition", () => {
-    it("is the same on every host and in every version", () => {
+  describe("partitionOf", () => {
+    it("returns the same partition on every host and in every version", () => {
       expect(["BC547", "room-12", "é"].map((key) => partitionOf(key, 65_536)))
         .to.deep.equal([2_431, 53_153, 10_535]);
     });
 
-    it("spreads keys evenly", () => {
+    it("distributes keys evenly", () => {
       const counts = new Array<number>(64).fill(0);
       Array.from(
         { length: 64_000 },
@@ -117,8 +117,8 @@
     });
   });
 
-  describe("ownership table", () => {
-    it("finds the same owner as a naive look-up", () => {
+  describe("OwnershipTable", () => {
+    it("finds the same owner as a naive lookup", () => {
       const shard = fc.record({
         owners: fc.array(fc.integer({ min: -1, max: 2 }), {
           minLength: 16,
--- a/packages/view/src/view_test.ts
+++ b/packages/view/src/view_test.ts
@@ -1,5 +1,5 @@
 /**
- * Property tests of the copies of the records, against a naive copy that replays the whole history.
+ * Property tests of copies of the records, compared with a naive replay of all writes.
  *
  * @module
  */
@@ -9,35 +9,35 @@
 
 const SEED = 7;
 
-/** A history: each write has the next revision; some delete. */
+/** A history of writes with consecutive revisions, some of which are deletions. */
 const history = fc.array(
   fc.record({
     key: fc.constantFrom("a", "b", "c", "d"),
-    deletes: fc.boolean(),
+    isDeletion: fc.boolean(),
   }),
   { minLength: 1, maxLength: 40 },
 ).map((writes) =>
-  writes.map(({ key, deletes }, index): ViewRecord => ({
+  writes.map(({ key, isDeletion }, index): ViewRecord => ({
     key,
-    value: deletes ? undefined : `value-${index}`,
+    value: isDeletion ? undefined : `value-${index}`,
     revision: index + 1,
   }))
 );
 
 function replay(records: readonly ViewRecord[]): Map<string, string> {
-  const naive = new Map<string, string>();
+  const contents = new Map<string, string>();
   records.forEach(({ key, value }) =>
-    value === undefined ? naive.delete(key) : naive.set(key, value)
+    value === undefined ? contents.delete(key) : contents.set(key, value)
   );
-  return naive;
+  return contents;
 }
 
 function contentsOf(view: View): Map<string, string> {
   return new Map(view.list("").map(({ key, value }) => [key, value as string]));
 }
 
-/** A copy that heard of everything, one write at a time. */
-function follow(records: readonly ViewRecord[]): View {
+/** Creates a copy that received every write in a delta of its own. */
+function replicate(records: readonly ViewRecord[]): View {
   const view = View.create();
   records.forEach((record) =>
     view.merge({
@@ -51,17 +51,17 @@
 
 describe("view", () => {
   describe("merge", () => {
-    it("equals a replay of the history, however deltas arrive", () => {
+    it("equals a replay of the history, in whatever order deltas arrive", () => {
       const property = fc.property(
         history,
         fc.array(fc.record({ at: fc.nat(40), since: fc.nat(40) }), {
           maxLength: 30,
         }),
         (records, exchanges) => {
-          const source = follow(records);
+          const source = replicate(records);
           const target = View.create();
           exchanges.forEach(({ at, since }) => {
-            const older = follow(records.slice(0, at));
+            const older = replicate(records.slice(0, at));
             const delta = older.deltaSince(Math.min(since, target.revision));
             if (delta !== undefined) {
               target.merge(delta);
@@ -70,9 +70,9 @@
               replay(records.slice(0, target.revision)),
             );
           });
-          const rest = source.deltaSince(target.revision);
-          if (rest !== undefined) {
-            target.merge(rest);
+          const remainingDelta = source.deltaSince(target.revision);
+          if (remainingDelta !== undefined) {
+            target.merge(remainingDelta);
           }
           expect(contentsOf(target)).to.deep.equal(replay(records));
         },
@@ -80,7 +80,7 @@
       fc.assert(property, { seed: SEED, numRuns: 500 });
     });
 
-    it("never goes back in revision", () => {
+    it("never decreases the revision", () => {
       const property = fc.property(
         history,
         fc.array(fc.nat(40)),
@@ -88,7 +88,7 @@
           const view = View.create();
           order.forEach((at) => {
             const before = view.revision;
-            const delta = follow(records.slice(0, at)).deltaSince(
+            const delta = replicate(records.slice(0, at)).deltaSince(
               view.revision,
             );
             if (delta !== undefined) {
@@ -101,32 +101,31 @@
       fc.assert(property, { seed: SEED, numRuns: 300 });
     });
 
-    it("refuses a delta that would leave a gap", () => {
-      const view = follow([{ key: "a", value: "1", revision: 1 }]);
-      const late: Delta = {
+    it("rejects a delta that would leave a gap", () => {
+      const view = replicate([{ key: "a", value: "1", revision: 1 }]);
+      const laterDelta: Delta = {
         from: 5,
         to: 6,
         records: [{ key: "a", value: "2", revision: 6 }],
       };
-      expect(view.merge(late)).to.equal("gap");
+      expect(view.merge(laterDelta)).to.equal("gap");
       expect(view.get("a")?.value).to.equal("1");
     });
   });
 
   describe("deletions", () => {
-    // Symptom: a session record that was deleted comes back on one daemon.
-    // Sequence: the copy is further behind than the kept traces of deletions reach.
-    // Cause: a delta can't name what nobody remembers, so such a copy must be replaced whole.
-    it("that are forgotten reach a copy that is far behind", () => {
+    // Guards against a deleted session record that stays on one daemon: the copy lacks deletions whose tombstones are
+    // no longer kept, so a delta can't contain them and must contain all records instead.
+    it("are applied to a copy that is older than the kept tombstones", () => {
       const writes = Array.from({ length: 3_000 }, (_, index) => [
         { key: `k${index}`, value: "x", revision: 2 * index + 1 },
         { key: `k${index}`, value: undefined, revision: 2 * index + 2 },
       ]).flat();
-      const behind = follow(writes.slice(0, 1));
-      const delta = follow(writes).deltaSince(behind.revision) as Delta;
+      const outdated = replicate(writes.slice(0, 1));
+      const delta = replicate(writes).deltaSince(outdated.revision) as Delta;
       expect(delta.from).to.equal(0);
-      behind.merge(delta);
-      expect(behind.size).to.equal(0);
+      outdated.merge(delta);
+      expect(outdated.size).to.equal(0);
     });
   });
 });
