--- a/packages/ownership/src/lease_holder.ts
+++ b/packages/ownership/src/lease_holder.ts
@@ -63,7 +63,7 @@
     }
   }
 
-  /** Records that a witness is not permitted to promise at present, and schedules a retry with exponential backoff. */
+  /** Records that a witness may not promise at present, and schedules a retry with exponential backoff. */
   recordNotPermitted(witness: string, nowMs: number): void {
     const delayMs = (this.retries.get(witness)?.delayMs ??
       INITIAL_RETRY_DELAY_MS / 2) * 2;
--- a/packages/ownership/src/plan_moves.ts
+++ b/packages/ownership/src/plan_moves.ts
@@ -118,8 +118,8 @@
   }
 
   /**
-   * Returns a move of the largest partition of the most loaded owner that does not make the least loaded owner the
-   * more loaded of the two; `undefined` if the imbalance is tolerable or no partition is small enough.
+   * Plans a move of the largest partition of the most loaded owner that does not make the least loaded owner the more
+   * loaded of the two; returns `undefined` if the imbalance is tolerable or no partition is small enough.
    */
   nextMove(): Move | undefined {
     const source = this.candidates.reduce((most, next) =>
--- a/packages/ownership/src/witness_choice.ts
+++ b/packages/ownership/src/witness_choice.ts
@@ -10,8 +10,8 @@
 export const MAX_WITNESSES = 5;
 
 /**
- * Chooses witnesses for a session: open sessions of the same region on other hosts that no newer session replaces, spread
- * over availability zones.
+ * Chooses witnesses for a session: open sessions of the same region on other hosts, spread over availability zones.
+ * Sessions that a newer session replaces are excluded; with one daemon per host, no host has two witnesses.
  *
  * Regions can be partitioned from each other for minutes, and a witness in another region would be unreachable
  * for as long. A whole zone can fail at once, so the witnesses are spread as evenly over zones as possible.
--- a/packages/routing/src/routing_test.ts
+++ b/packages/routing/src/routing_test.ts
@@ -140,15 +140,16 @@
       const property = fc.property(
         shard,
         fc.constantFrom("a", "b", "c", "d", "e"),
-        (given, key) => {
-          const found = OwnershipTable.create([given]).find(key, {
+        (shardUnderTest, key) => {
+          const found = OwnershipTable.create([shardUnderTest]).find(key, {
             name: "quote-desk",
             partitions: 16,
           });
           const partition = partitionOf(key, 16);
-          const naive = given.overrides.some((override) => override.key === key)
-            ? "hot"
-            : given.sessions[given.owners[partition] ?? -1];
+          const naive =
+            shardUnderTest.overrides.some((override) => override.key === key)
+              ? "hot"
+              : shardUnderTest.sessions[shardUnderTest.owners[partition] ?? -1];
           expect(found?.session).to.equal(naive);
         },
       );
--- a/packages/view/src/view.ts
+++ b/packages/view/src/view.ts
@@ -1,7 +1,7 @@
 /**
  * A copy of all records below one prefix of the store, versioned by the store's revision.
  *
- * The store gives each write the next revision. A copy that is complete up to revision R equals the content of the
+ * The store assigns the next revision to each write. A copy that is complete up to revision R equals the content of the
  * store at R. One number therefore identifies the version of a copy, two copies differ only in records with later
  * revisions, and a merge never moves a copy to an older revision.
  *
