--- a/packages/daemon/src/attempt.ts
+++ b/packages/daemon/src/attempt.ts
@@ -85,7 +85,7 @@
 );
 
 /** Whether a refusal was about ownership. */
-export function isAboutOwnership(reason: string): boolean {
+export function isOwnershipReason(reason: string): boolean {
   return OWNERSHIP_REASONS.has(reason);
 }
 
--- a/packages/daemon/src/backend_connection.ts
+++ b/packages/daemon/src/backend_connection.ts
@@ -8,12 +8,12 @@
 import { CONNECT_TIMEOUT_MS } from "./connection_errors.ts";
 
 /** An announcement that was not repeated for so long no longer counts, in milliseconds. */
-export const ANNOUNCEMENT_MS = 1_800;
+export const ANNOUNCEMENT_TTL_MS = 1_800;
 
 /** What is known of the backend server, and the way to it. */
 export class BackendConnection {
-  private current: Announcement | undefined;
-  private heardAtMs = -Infinity;
+  private latest: Announcement | undefined;
+  private announcedAtMs = -Infinity;
   private pool: Pool | undefined;
 
   private constructor() {}
@@ -25,7 +25,7 @@
 
   /** What the backend server announced last. */
   get announcement(): Announcement | undefined {
-    return this.current;
+    return this.latest;
   }
 
   /** Connections to the backend server; `undefined` before it announced itself. */
@@ -40,7 +40,7 @@
    * handed keys under a session whose record says something else, and a takeover waits too short.
    */
   findConflicts(announcement: Announcement): string[] {
-    const known = this.current;
+    const known = this.latest;
     const fixed = ["service", "checks_fencing"] as const;
     return known === undefined ? [] : fixed
       .filter((name) => known[name] !== announcement[name])
@@ -53,16 +53,16 @@
 
   /** Stops handing requests over, because another server has taken the place of the known one. */
   disconnect(): void {
-    this.heardAtMs = -Infinity;
+    this.announcedAtMs = -Infinity;
     void this.pool?.close();
     this.pool = undefined;
   }
 
   /** Notes an announcement; returns whether anything in it is new. */
-  note(announcement: Announcement, nowMs: number): boolean {
-    const before = this.current;
-    this.heardAtMs = nowMs;
-    this.current = announcement;
+  recordAnnouncement(announcement: Announcement, nowMs: number): boolean {
+    const before = this.latest;
+    this.announcedAtMs = nowMs;
+    this.latest = announcement;
     const moved = before?.port !== announcement.port ||
       before.slots !== announcement.slots;
     if (moved || this.pool === undefined) {
@@ -74,13 +74,13 @@
 
   /** Whether the backend server is there and wants work. */
   isReady(nowMs: number): boolean {
-    return this.current?.state === "ready" && !this.isSilent(nowMs);
+    return this.latest?.state === "ready" && !this.isAnnouncementOverdue(nowMs);
   }
 
   /** Whether a backend server announced itself once and has not repeated it in time. */
-  isSilent(nowMs: number): boolean {
-    return this.current !== undefined &&
-      nowMs - this.heardAtMs > ANNOUNCEMENT_MS;
+  isAnnouncementOverdue(nowMs: number): boolean {
+    return this.latest !== undefined &&
+      nowMs - this.announcedAtMs > ANNOUNCEMENT_TTL_MS;
   }
 
   /** Closes all connections. */
--- a/packages/daemon/src/backend_dispatcher.ts
+++ b/packages/daemon/src/backend_dispatcher.ts
@@ -19,10 +19,10 @@
 } from "./attempt.ts";
 import type { BackendConnection } from "./backend_connection.ts";
 import { monotonicMs, wallClockMs } from "./clock.ts";
-import { isNeverConnected } from "./connection_errors.ts";
+import { isConnectFailure } from "./connection_errors.ts";
 import { readSingle, selectEndToEnd } from "./http_headers.ts";
 import type { OwnSession } from "./own_session.ts";
-import type { SlotGate } from "./slot_gate.ts";
+import type { SlotLimiter } from "./slot_limiter.ts";
 
 /** Answers of non-idempotent requests are kept for resends up to this size, in bytes. */
 const KEPT_ANSWER_BYTES = 16_384;
@@ -33,7 +33,7 @@
 export interface BackendDispatcherContext {
   readonly session: () => OwnSession | undefined;
   readonly backend: BackendConnection;
-  readonly gate: SlotGate;
+  readonly gate: SlotLimiter;
 }
 
 /** The backend server on this host. */
@@ -113,7 +113,7 @@
       priority: request.match.operation.priority,
       deadlineMs: request.deadlineMs,
     };
-    const outcome = await gate.enter(slot, request.signal);
+    const outcome = await gate.acquire(slot, request.signal);
     switch (outcome.kind) {
       case "cancelled":
         return notRun(
@@ -144,12 +144,12 @@
     const mayServe = session.mayServe(assignment, startedMs) &&
       session.allowsWork(request.deadlineMs - startedMs);
     if (!mayServe || backend.connections === undefined) {
-      gate.leave(slot);
+      gate.release(slot);
       return notRun("not_owner", "this daemon may not serve the key any more");
     }
     session.releases.begin(assignment);
     const end = (tookMs?: number) => {
-      gate.leave(slot, tookMs);
+      gate.release(slot, tookMs);
       session.releases.finish(assignment);
     };
     try {
@@ -283,7 +283,7 @@
 }
 
 function describeFailure(cause: unknown, signal: AbortSignal): AttemptResult {
-  if (isNeverConnected(cause)) {
+  if (isConnectFailure(cause)) {
     return notRun("backend_unreachable", "the backend server can't be reached");
   }
   return signal.aborted
--- a/packages/daemon/src/background.ts
+++ b/packages/daemon/src/background_task.ts
@@ -6,7 +6,7 @@
 import type { Logger } from "@bamboolink/logger";
 
 /** Runs one kind of work at a time; while it runs, further starts are left out. */
-export class Background {
+export class BackgroundTask {
   private running = false;
 
   private constructor(
@@ -15,8 +15,8 @@
   ) {}
 
   /** Creates one for a named step. */
-  static create(logger: Logger, step: string): Background {
-    return new Background(logger, step);
+  static create(logger: Logger, step: string): BackgroundTask {
+    return new BackgroundTask(logger, step);
   }
 
   /** Whether the work runs. */
--- a/packages/daemon/src/connection_errors.ts
+++ b/packages/daemon/src/connection_errors.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-const NOT_CONNECTED = new Set([
+const CONNECT_FAILURE_CODES = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
   "ENETUNREACH",
@@ -13,8 +13,10 @@
 ]);
 
 /** Whether no byte of the request can have reached the peer. */
-export function isNeverConnected(cause: unknown): boolean {
-  return NOT_CONNECTED.has((cause as NodeJS.ErrnoException | null)?.code ?? "");
+export function isConnectFailure(cause: unknown): boolean {
+  return CONNECT_FAILURE_CODES.has(
+    (cause as NodeJS.ErrnoException | null)?.code ?? "",
+  );
 }
 
 /** How long a connection attempt may take, in milliseconds. */
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -24,7 +24,7 @@
 import { monotonicMs, wallClockMs } from "./clock.ts";
 import type { DaemonSettings } from "./daemon_settings.ts";
 import { describeStatus } from "./daemon_status.ts";
-import { Entrance } from "./entrance.ts";
+import { RequestRouter } from "./request_router.ts";
 import { Fleet } from "./fleet.ts";
 import { chooseNeighbours } from "./neighbours.ts";
 import { OwnerForwarder } from "./owner_forwarder.ts";
@@ -35,7 +35,7 @@
 import { RecordSpreader } from "./record_spreader.ts";
 import { Reporter } from "./reporter.ts";
 import { SessionKeeper } from "./session_keeper.ts";
-import { SlotGate } from "./slot_gate.ts";
+import { SlotLimiter } from "./slot_limiter.ts";
 import { StoreFollower } from "./store_follower.ts";
 
 /** Length of one step of the control loop, in milliseconds. */
@@ -65,14 +65,14 @@
   private readonly fleet: Fleet;
   private readonly clients = PeerClients.create();
   private readonly backend = BackendConnection.create();
-  private readonly gate = SlotGate.create(NO_SLOTS);
+  private readonly gate = SlotLimiter.create(NO_SLOTS);
   private readonly keeper: SessionKeeper;
   private readonly follower: StoreFollower;
   private readonly spreader: RecordSpreader;
   private readonly planner: Planner;
   private readonly reporter: Reporter;
   private readonly forwarder: OwnerForwarder;
-  private readonly entrance: Entrance;
+  private readonly entrance: RequestRouter;
   private readonly admin: AdminServer;
   private readonly dataServer: Server;
   private readonly connections: ServerConnections;
@@ -150,7 +150,7 @@
       backend: this.backend,
       gate: this.gate,
     });
-    this.entrance = Entrance.create({
+    this.entrance = RequestRouter.create({
       fleet,
       local,
       remote: this.forwarder,
@@ -352,7 +352,7 @@
   }
 
   private noteMissingAnnouncement(nowMs: number): void {
-    const isMissing = this.backend.isSilent(nowMs);
+    const isMissing = this.backend.isAnnouncementOverdue(nowMs);
     if (isMissing && !this.announcementMissing) {
       this.logger.log("announcement_missing");
     }
@@ -371,7 +371,7 @@
       this.backend.disconnect();
       return conflicts;
     }
-    const isNew = this.backend.note(announcement, monotonicMs());
+    const isNew = this.backend.recordAnnouncement(announcement, monotonicMs());
     const service = this.fleet.configuration?.services.get(
       announcement.service,
     );
--- a/packages/daemon/src/daemon_status.ts
+++ b/packages/daemon/src/daemon_status.ts
@@ -4,11 +4,11 @@
  * @module
  */
 import type { DaemonSettings } from "./daemon_settings.ts";
-import type { Entrance } from "./entrance.ts";
+import type { RequestRouter } from "./request_router.ts";
 import type { Fleet } from "./fleet.ts";
 import type { Planner } from "./planner.ts";
 import type { SessionKeeper } from "./session_keeper.ts";
-import type { SlotGate } from "./slot_gate.ts";
+import type { SlotLimiter } from "./slot_limiter.ts";
 import type { StoreFollower } from "./store_follower.ts";
 
 /** Describes a daemon as plain data. */
@@ -19,8 +19,8 @@
     keeper: SessionKeeper;
     planner: Planner;
     follower: StoreFollower;
-    gate: SlotGate;
-    entrance: Entrance;
+    gate: SlotLimiter;
+    entrance: RequestRouter;
     nowMs: number;
   },
 ): unknown {
--- a/packages/daemon/src/owner_forwarder.ts
+++ b/packages/daemon/src/owner_forwarder.ts
@@ -16,7 +16,7 @@
   type UnknownReason,
 } from "./attempt.ts";
 import { monotonicMs } from "./clock.ts";
-import { CONNECT_TIMEOUT_MS, isNeverConnected } from "./connection_errors.ts";
+import { CONNECT_TIMEOUT_MS, isConnectFailure } from "./connection_errors.ts";
 import type { Fleet } from "./fleet.ts";
 import { selectEndToEnd } from "./http_headers.ts";
 
@@ -117,7 +117,7 @@
 }
 
 function describeFailure(cause: unknown, signal: AbortSignal): AttemptResult {
-  if (isNeverConnected(cause)) {
+  if (isConnectFailure(cause)) {
     return notRun("owner_unreachable", "the owner's daemon can't be reached");
   }
   return signal.aborted
--- a/packages/daemon/src/planner.ts
+++ b/packages/daemon/src/planner.ts
@@ -32,7 +32,7 @@
   tableKey,
   type TableShard,
 } from "@bamboolink/types";
-import { Background } from "./background.ts";
+import { BackgroundTask } from "./background_task.ts";
 import { monotonicMs, wallClockMs } from "./clock.ts";
 import type { Fleet } from "./fleet.ts";
 import { HandoverRunner } from "./handover_runner.ts";
@@ -64,7 +64,7 @@
   private readonly election: PlannerElection;
   private readonly suspicions = SuspicionLedger.create();
   private readonly reports = ReportBoard.create();
-  private readonly round: Background;
+  private readonly round: BackgroundTask;
   private readonly firstSeenMs = new Map<string, number>();
   private readonly endedSinceMs = new Map<string, number>();
   private readonly stuckSinceMs = new Map<string, number>();
@@ -74,7 +74,7 @@
 
   private constructor(private readonly context: PlannerContext) {
     this.election = PlannerElection.create(context);
-    this.round = Background.create(context.logger, "planner.round");
+    this.round = BackgroundTask.create(context.logger, "planner.round");
     this.takeovers = TakeoverBook.create(context.timing);
     this.handovers = this.createHandovers();
   }
--- a/packages/daemon/src/planner_election.ts
+++ b/packages/daemon/src/planner_election.ts
@@ -9,7 +9,7 @@
 import type { Logger } from "@bamboolink/logger";
 import { type Store, writeAndVerify } from "@bamboolink/store";
 import { PLANNER_KEY, type PlannerRecord } from "@bamboolink/types";
-import { Background } from "./background.ts";
+import { BackgroundTask } from "./background_task.ts";
 import { monotonicMs, wallClockMs } from "./clock.ts";
 import type { Fleet } from "./fleet.ts";
 
@@ -21,7 +21,7 @@
 
 /** The election as one daemon takes part in it. */
 export class PlannerElection {
-  private readonly working: Background;
+  private readonly working: BackgroundTask;
   private lease: string | undefined;
   private elected: string | undefined;
   private electedRevision = 0;
@@ -30,7 +30,7 @@
   private constructor(
     private readonly context: { store: Store; fleet: Fleet; logger: Logger },
   ) {
-    this.working = Background.create(context.logger, "planner_election");
+    this.working = BackgroundTask.create(context.logger, "planner_election");
   }
 
   /** Creates an election in which this daemon is not elected. */
--- a/packages/daemon/src/record_spreader.ts
+++ b/packages/daemon/src/record_spreader.ts
@@ -12,7 +12,7 @@
   fromWireDelta,
   toWireDelta,
 } from "@bamboolink/protocol";
-import { Background } from "./background.ts";
+import { BackgroundTask } from "./background_task.ts";
 import type { Fleet } from "./fleet.ts";
 import type { Logger } from "@bamboolink/logger";
 import type { PeerClients } from "./peer_clients.ts";
@@ -25,7 +25,7 @@
 
 /** Spreads the records of one daemon. */
 export class RecordSpreader {
-  private readonly comparing: Background;
+  private readonly comparing: BackgroundTask;
   /** How far each neighbour's copy is known to be complete. */
   private readonly peerRevisions = new Map<string, number>();
   private readonly pushing = new Set<string>();
@@ -43,7 +43,7 @@
       sessionId: () => string;
     },
   ) {
-    this.comparing = Background.create(
+    this.comparing = BackgroundTask.create(
       context.logger,
       "record_spreader.compare",
     );
--- a/packages/daemon/src/reporter.ts
+++ b/packages/daemon/src/reporter.ts
@@ -6,7 +6,7 @@
 import { create } from "@bufbuild/protobuf";
 import type { Logger } from "@bamboolink/logger";
 import { type ReportRequest, ReportRequestSchema } from "@bamboolink/protocol";
-import { Background } from "./background.ts";
+import { BackgroundTask } from "./background_task.ts";
 import type { Fleet } from "./fleet.ts";
 import type { OwnSession } from "./own_session.ts";
 import type { PeerClients } from "./peer_clients.ts";
@@ -28,8 +28,8 @@
 
 /** Reports of one daemon. */
 export class Reporter {
-  private readonly reporting: Background;
-  private readonly suspecting: Background;
+  private readonly reporting: BackgroundTask;
+  private readonly suspecting: BackgroundTask;
   private nextReportMs = 0;
   private nextSuspectMs = 0;
   private lastReported = "";
@@ -42,8 +42,8 @@
       condition: () => Condition;
     },
   ) {
-    this.reporting = Background.create(context.logger, "reporter.report");
-    this.suspecting = Background.create(context.logger, "reporter.suspect");
+    this.reporting = BackgroundTask.create(context.logger, "reporter.report");
+    this.suspecting = BackgroundTask.create(context.logger, "reporter.suspect");
   }
 
   /** Creates a reporter. */
--- a/packages/daemon/src/request_body.ts
+++ b/packages/daemon/src/request_body.ts
@@ -9,7 +9,7 @@
 import { err, ok, type Result } from "neverthrow";
 
 /** Bodies up to this size are kept, in bytes. */
-const KEPT_BYTES = 65_536;
+const MAX_BUFFERED_BYTES = 65_536;
 
 /** The body of a request. */
 export abstract class RequestBody {
@@ -21,7 +21,7 @@
 }
 
 /** A body that is kept whole. */
-export class KeptBody extends RequestBody {
+export class BufferedBody extends RequestBody {
   override readonly isReplayable = true;
 
   private constructor(private readonly bytes: Buffer) {
@@ -29,8 +29,8 @@
   }
 
   /** Creates a body from its bytes. */
-  static create(bytes: Buffer): KeptBody {
-    return new KeptBody(bytes);
+  static create(bytes: Buffer): BufferedBody {
+    return new BufferedBody(bytes);
   }
 
   override open(): Uint8Array | null {
@@ -78,10 +78,10 @@
   const kept: Buffer[] = [];
   let size = 0;
   try {
-    while (size <= KEPT_BYTES) {
+    while (size <= MAX_BUFFERED_BYTES) {
       const next = await chunks.next();
       if (next.done === true) {
-        return ok(KeptBody.create(Buffer.concat(kept)));
+        return ok(BufferedBody.create(Buffer.concat(kept)));
       }
       kept.push(next.value);
       size += next.value.length;
--- a/packages/daemon/src/entrance.ts
+++ b/packages/daemon/src/request_router.ts
@@ -12,11 +12,11 @@
 import type { Metrics } from "@bamboolink/metrics";
 import type { Assignment, Match } from "@bamboolink/routing";
 import { HEADERS } from "@bamboolink/types";
-import { AnswerWriter, type RequestEnd } from "./answer_writer.ts";
+import { type CountedOutcome, ResponseWriter } from "./response_writer.ts";
 import {
   type AttemptResult,
   type Destination,
-  isAboutOwnership,
+  isOwnershipReason,
   notRun,
   type RoutedRequest,
 } from "./attempt.ts";
@@ -30,7 +30,7 @@
 const RETRY_RATIO = 0.1;
 
 /** What the entrance needs. */
-export interface EntranceContext {
+export interface RequestRouterContext {
   readonly fleet: Fleet;
   readonly local: Destination;
   readonly remote: Destination;
@@ -43,16 +43,16 @@
 }
 
 /** The entrance of one daemon. */
-export class Entrance {
+export class RequestRouter {
   private readonly budget = RetryBudget.create(RETRY_RATIO);
   private active = 0;
   private waiting = 0;
 
-  private constructor(private readonly context: EntranceContext) {}
+  private constructor(private readonly context: RequestRouterContext) {}
 
   /** Creates an entrance. */
-  static create(context: EntranceContext): Entrance {
-    return new Entrance(context);
+  static create(context: RequestRouterContext): RequestRouter {
+    return new RequestRouter(context);
   }
 
   /** How many requests are under way. */
@@ -90,7 +90,7 @@
   ): Promise<void> {
     const startedMs = monotonicMs();
     const id = readSingle(incoming.headers, HEADERS.requestId) ?? randomUUID();
-    const writer = AnswerWriter.create({
+    const writer = ResponseWriter.create({
       response,
       requestId: id,
       logger: this.context.logger,
@@ -193,7 +193,7 @@
     const surelyNotRun = result.kind === "not_run";
     return decideRetry({
       surelyNotRun,
-      ownershipMoved: surelyNotRun && isAboutOwnership(result.reason),
+      ownershipMoved: surelyNotRun && isOwnershipReason(result.reason),
     }, {
       attempts,
       remainingMs: request.deadlineMs - monotonicMs(),
@@ -228,7 +228,7 @@
   private async finish(
     end: {
       result: AttemptResult;
-      writer: AnswerWriter;
+      writer: ResponseWriter;
       startedMs: number;
       match?: Match;
       forwarded: boolean;
@@ -257,7 +257,7 @@
 
   /** Counts the request where its caller came in, so that a forwarded one is counted once. */
   private record(
-    outcome: RequestEnd,
+    outcome: CountedOutcome,
     request: { match: Match | undefined; tookMs: number; forwarded: boolean },
   ): void {
     const { metrics } = this.context;
--- a/packages/daemon/src/entrance_test.ts
+++ b/packages/daemon/src/request_router_test.ts
@@ -18,7 +18,7 @@
   unknown,
 } from "./attempt.ts";
 import { monotonicMs } from "./clock.ts";
-import { Entrance } from "./entrance.ts";
+import { RequestRouter } from "./request_router.ts";
 import { Fleet } from "./fleet.ts";
 import { Randomness } from "./randomness.ts";
 
@@ -118,7 +118,7 @@
 
   async function ask(owner: Destination): Promise<string> {
     const logger = Logger.create("test", { format: "human", level: "error" });
-    const entrance = Entrance.create({
+    const entrance = RequestRouter.create({
       fleet: createFleet(logger),
       local: owner,
       remote: owner,
--- a/packages/daemon/src/answer_writer.ts
+++ b/packages/daemon/src/response_writer.ts
@@ -11,7 +11,7 @@
 import type { AttemptResult } from "./attempt.ts";
 
 /** What a caller may need beside the answer. */
-export interface AnswerHints {
+export interface ResponseHints {
   /** Where the owner's daemon is reached directly. */
   readonly owner: string | undefined;
   /** When a refused caller may come back, in milliseconds. */
@@ -19,10 +19,10 @@
 }
 
 /** What is counted as the end of a request. */
-export type RequestEnd = Outcome | "invalid" | "cut";
+export type CountedOutcome = Outcome | "invalid" | "cut";
 
 /** Writes the answer of one request. */
-export class AnswerWriter {
+export class ResponseWriter {
   private constructor(
     private readonly context: {
       response: ServerResponse;
@@ -34,12 +34,15 @@
   /** Creates a writer for one response. */
   static create(
     context: { response: ServerResponse; requestId: string; logger: Logger },
-  ): AnswerWriter {
-    return new AnswerWriter(context);
+  ): ResponseWriter {
+    return new ResponseWriter(context);
   }
 
   /** Writes the answer and returns how the request ended. */
-  async write(result: AttemptResult, hints: AnswerHints): Promise<RequestEnd> {
+  async write(
+    result: AttemptResult,
+    hints: ResponseHints,
+  ): Promise<CountedOutcome> {
     const { response, logger, requestId } = this.context;
     if (response.destroyed) {
       discard(result);
@@ -79,7 +82,7 @@
 
   private async writeAnswer(
     result: Extract<AttemptResult, { kind: "answer" }>,
-  ): Promise<RequestEnd> {
+  ): Promise<CountedOutcome> {
     const { response, logger, requestId } = this.context;
     response.writeHead(result.status, {
       ...result.headers,
--- a/packages/daemon/src/session_keeper.ts
+++ b/packages/daemon/src/session_keeper.ts
@@ -18,7 +18,7 @@
   sessionKey,
   SessionRecord,
 } from "@bamboolink/types";
-import { Background } from "./background.ts";
+import { BackgroundTask } from "./background_task.ts";
 import { monotonicMs, wallClockMs } from "./clock.ts";
 import type { Fleet } from "./fleet.ts";
 import { OwnSession } from "./own_session.ts";
@@ -54,8 +54,8 @@
 
 /** Keeps the session of one daemon. */
 export class SessionKeeper {
-  private readonly writing: Background;
-  private readonly confirming: Background;
+  private readonly writing: BackgroundTask;
+  private readonly confirming: BackgroundTask;
   private readonly lastAnswers = new Map<string, number>();
   private readonly lastAnswerKinds = new Map<string, string>();
   private readonly channels = new Map<string, RenewalChannel>();
@@ -66,8 +66,11 @@
   private closed = false;
 
   private constructor(private readonly context: SessionKeeperContext) {
-    this.writing = Background.create(context.logger, "session_keeper.write");
-    this.confirming = Background.create(
+    this.writing = BackgroundTask.create(
+      context.logger,
+      "session_keeper.write",
+    );
+    this.confirming = BackgroundTask.create(
       context.logger,
       "session_keeper.confirm",
     );
--- a/packages/daemon/src/slot_gate.ts
+++ b/packages/daemon/src/slot_limiter.ts
@@ -11,7 +11,7 @@
 import { monotonicMs } from "./clock.ts";
 
 /** How a request got out of the gate. */
-export type GateOutcome =
+export type SlotOutcome =
   | { readonly kind: "run" }
   | {
     readonly kind: "refuse";
@@ -21,17 +21,17 @@
   | { readonly kind: "cancelled" };
 
 /** The gate in front of the backend server's slots. */
-export class SlotGate {
+export class SlotLimiter {
   private readonly queue: SlotQueue;
-  private readonly waiting = new Map<string, (outcome: GateOutcome) => void>();
+  private readonly waiting = new Map<string, (outcome: SlotOutcome) => void>();
 
   private constructor(limits: SlotQueueLimits) {
     this.queue = SlotQueue.create(limits);
   }
 
   /** Creates an open gate. */
-  static create(limits: SlotQueueLimits): SlotGate {
-    return new SlotGate(limits);
+  static create(limits: SlotQueueLimits): SlotLimiter {
+    return new SlotLimiter(limits);
   }
 
   /** Changes the limits. */
@@ -48,7 +48,7 @@
   }
 
   /** Waits for a slot. */
-  enter(request: SlotRequest, signal: AbortSignal): Promise<GateOutcome> {
+  acquire(request: SlotRequest, signal: AbortSignal): Promise<SlotOutcome> {
     const { verdict, displaced } = this.queue.offer(request, monotonicMs());
     displaced.forEach((id) =>
       this.settle(id, {
@@ -61,21 +61,21 @@
       return Promise.resolve(verdict);
     }
     return new Promise((resolve) => {
-      const leave = () => {
+      const onAbort = () => {
         if (this.queue.cancel(request.id)) {
           this.settle(request.id, { kind: "cancelled" });
         }
       };
-      signal.addEventListener("abort", leave, { once: true });
+      signal.addEventListener("abort", onAbort, { once: true });
       this.waiting.set(request.id, (outcome) => {
-        signal.removeEventListener("abort", leave);
+        signal.removeEventListener("abort", onAbort);
         resolve(outcome);
       });
     });
   }
 
   /** Gives a slot back. Pass how long it was held, where that says something of the backend server. */
-  leave(id: string, tookMs?: number): void {
+  release(id: string, tookMs?: number): void {
     const at = {
       nowMs: monotonicMs(),
       ...(tookMs === undefined ? {} : { tookMs }),
@@ -99,7 +99,7 @@
     return this.queue.expectedWaitMs(this.queue.waitingCount);
   }
 
-  private settle(id: string, outcome: GateOutcome): void {
+  private settle(id: string, outcome: SlotOutcome): void {
     const resolve = this.waiting.get(id);
     this.waiting.delete(id);
     resolve?.(outcome);
--- a/packages/daemon/src/store_follower.ts
+++ b/packages/daemon/src/store_follower.ts
@@ -8,7 +8,7 @@
 import type { Logger } from "@bamboolink/logger";
 import type { Store, Watch } from "@bamboolink/store";
 import { KEY_PREFIX } from "@bamboolink/types";
-import { Background } from "./background.ts";
+import { BackgroundTask } from "./background_task.ts";
 import { monotonicMs } from "./clock.ts";
 import type { Fleet } from "./fleet.ts";
 import type { Randomness } from "./randomness.ts";
@@ -18,7 +18,7 @@
 
 /** Lists the store once and then watches it. */
 export class StoreFollower {
-  private readonly listing: Background;
+  private readonly listing: BackgroundTask;
   private watch: Watch | undefined;
   /** The revision up to which the watch has been heard; 0 asks for a new listing. */
   private heardUpTo = 0;
@@ -33,7 +33,7 @@
       randomness: Randomness;
     },
   ) {
-    this.listing = Background.create(context.logger, "store_follower.list");
+    this.listing = BackgroundTask.create(context.logger, "store_follower.list");
   }
 
   /** Creates a follower that does not follow yet. */
