--- a/packages/daemon/src/admin_server.ts
+++ b/packages/daemon/src/admin_server.ts
@@ -1,5 +1,5 @@
 /**
- * The server on loopback: announcements of the backend server, health, metrics and status.
+ * The admin server on loopback: announcements of the backend server, health checks, metrics and status.
  *
  * @module
  */
@@ -13,22 +13,21 @@
 import type { Metrics } from "@bamboolink/metrics";
 import { Announcement } from "@bamboolink/types";
 
-/** The largest announcement in bytes. */
-const MAXIMUM_BYTES = 16_384;
+const MAX_ANNOUNCEMENT_BYTES = 16_384;
 
-/** What the server needs. */
+/** Dependencies of the admin server. */
 export interface AdminServerContext {
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Takes an announcement and returns what is wrong with it. */
+  /** Called with each valid announcement; returns its conflicts with an earlier one, or an empty list to accept it. */
   readonly onAnnouncement: (announcement: Announcement) => readonly string[];
-  /** Whether callers should be sent here. */
+  /** Whether callers may send requests to this daemon. */
   readonly isReady: () => boolean;
-  /** Status for people and tools. */
+  /** Returns the daemon's status, for people and tools. */
   readonly status: () => unknown;
 }
 
-/** The server on loopback. */
+/** The admin server, an HTTP server that listens on loopback. */
 export class AdminServer {
   readonly server: Server;
 
@@ -44,7 +43,7 @@
     });
   }
 
-  /** Creates a server that does not listen yet. */
+  /** Creates a server; the caller makes `server` listen. */
   static create(context: AdminServerContext): AdminServer {
     return new AdminServer(context);
   }
@@ -55,7 +54,7 @@
   ): Promise<void> {
     switch (`${request.method} ${request.url}`) {
       case "POST /bamboolink/v1/announcements":
-        return await this.takeAnnouncement(request, response);
+        return await this.handleAnnouncement(request, response);
       case "GET /healthz":
         return sendJson(response, { status: 200, body: { status: "alive" } });
       case "GET /readyz": {
@@ -90,7 +89,7 @@
     }
   }
 
-  private async takeAnnouncement(
+  private async handleAnnouncement(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -106,7 +105,7 @@
         });
     }
     const problems = text === undefined
-      ? [`the announcement is larger than ${MAXIMUM_BYTES} bytes`]
+      ? [`the announcement is larger than ${MAX_ANNOUNCEMENT_BYTES} bytes`]
       : parsed.error.issues.map((issue) =>
         `${issue.path.join(".") || "(body)"}: ${issue.message}`
       );
@@ -128,7 +127,7 @@
   let size = 0;
   for await (const chunk of request) {
     size += (chunk as Buffer).length;
-    if (size > MAXIMUM_BYTES) {
+    if (size > MAX_ANNOUNCEMENT_BYTES) {
       return undefined;
     }
     chunks.push(chunk as Buffer);
@@ -146,8 +145,8 @@
 
 function sendJson(
   response: ServerResponse,
-  answer: { status: number; body: unknown },
+  result: { status: number; body: unknown },
 ): void {
-  response.writeHead(answer.status, { "content-type": "application/json" });
-  response.end(JSON.stringify(answer.body));
+  response.writeHead(result.status, { "content-type": "application/json" });
+  response.end(JSON.stringify(result.body));
 }
--- a/packages/daemon/src/background_task.ts
+++ b/packages/daemon/src/background_task.ts
@@ -1,11 +1,11 @@
 /**
- * Work that the control loop starts and does not wait for.
+ * Asynchronous tasks that the control loop starts without waiting for them.
  *
  * @module
  */
 import type { Logger } from "@bamboolink/logger";
 
-/** Runs one kind of work at a time; while it runs, further starts are left out. */
+/** Runs at most one instance of a task at a time; starts during a run are ignored. */
 export class BackgroundTask {
   private running = false;
 
@@ -14,17 +14,16 @@
     private readonly step: string,
   ) {}
 
-  /** Creates one for a named step. */
+  /** Creates a task; `step` names it in the log. */
   static create(logger: Logger, step: string): BackgroundTask {
     return new BackgroundTask(logger, step);
   }
 
-  /** Whether the work runs. */
   get isRunning(): boolean {
     return this.running;
   }
 
-  /** Starts the work unless it runs. A fault in it is logged and ends only this run. */
+  /** Runs `work` unless a run is in progress. A rejection is logged and ends only this run. */
   start(work: () => Promise<void>): void {
     if (this.running) {
       return;
--- a/packages/daemon/src/clock.ts
+++ b/packages/daemon/src/clock.ts
@@ -1,18 +1,18 @@
 /**
- * The clocks of this process. Decision code never reads them; it is given their readings.
+ * The clocks of this process. Decision code never reads them; the time is passed to it.
  *
  * @module
  */
 
 /**
- * CLOCK_MONOTONIC in milliseconds. All processes of a host read the same clock, so a backend server can
- * compare a grant's expiry with it. It goes on while a process is stopped.
+ * Returns CLOCK_MONOTONIC in milliseconds. All processes of a host share this clock, so a backend server can compare
+ * the expiry of a grant with it. It continues to advance while a process is stopped.
  */
 export function monotonicMs(): number {
   return Number(process.hrtime.bigint()) / 1e6;
 }
 
-/** Wall-clock time in milliseconds since 1970. */
+/** Returns the wall-clock time in milliseconds since the Unix epoch. */
 export function wallClockMs(): number {
   return Date.now();
 }
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,5 +1,5 @@
 /**
- * Puts the parts of the daemon together.
+ * Creates and connects the components of the daemon, and runs its control loop.
  *
  * @module
  */
@@ -38,25 +38,25 @@
 import { SlotLimiter } from "./slot_limiter.ts";
 import { StoreFollower } from "./store_follower.ts";
 
-/** Length of one step of the control loop, in milliseconds. */
-const TICK_MS = 50;
-/** A control loop that is late by more than this is logged, in milliseconds. */
-const STALL_MS = 200;
-/** Slots assumed before the backend server announces how many it has. */
-const NO_SLOTS = { slots: 0, length: 0 };
+/** Interval of the control loop. */
+const TICK_INTERVAL_MS = 50;
+/** A control loop that runs late by more than this is logged. */
+const STALL_THRESHOLD_MS = 200;
+/** Limits of the slot queue until the backend server announces its slots. */
+const INITIAL_QUEUE_LIMITS = { slots: 0, length: 0 };
 const MAXIMUM_HEADER_BYTES = 16_384;
-/** How long a caller may take to send its headers, in milliseconds. */
+/** How long a caller may take to send its headers. */
 const HEADERS_TIMEOUT_MS = 10_000;
-/** Longer than common clients keep idle connections, so that they close first, in milliseconds. */
-const KEEP_ALIVE_MS = 65_000;
+/** Longer than common clients keep idle connections, so that they close first. */
+const KEEP_ALIVE_TIMEOUT_MS = 65_000;
 
 /**
- * After its keys are gone, a daemon that stops takes requests until none has come for so long, in milliseconds.
- * Other daemons hear of the new owners a moment later, the slowest by the length of one delayed turn.
+ * A stopping daemon that no longer owns keys accepts requests until none has arrived for this time. Other daemons
+ * learn of the new owners slightly later, the slowest ones after one delayed turn of their event loop.
  */
-const QUIET_MS = 400;
+const QUIET_PERIOD_MS = 400;
 
-/** The process beside one backend server. */
+/** The daemon that runs on the host of one backend server. */
 export class Daemon {
   private readonly logger: Logger;
   private readonly metrics = Metrics.create();
@@ -65,10 +65,10 @@
   private readonly fleet: Fleet;
   private readonly clients = PeerClients.create();
   private readonly backend = BackendConnection.create();
-  private readonly slotLimiter = SlotLimiter.create(NO_SLOTS);
-  private readonly keeper: SessionKeeper;
+  private readonly slotLimiter = SlotLimiter.create(INITIAL_QUEUE_LIMITS);
+  private readonly sessionManager: SessionKeeper;
   private readonly follower: StoreFollower;
-  private readonly spreader: RecordSpreader;
+  private readonly gossiper: RecordSpreader;
   private readonly planner: Planner;
   private readonly reporter: Reporter;
   private readonly forwarder: OwnerForwarder;
@@ -78,12 +78,12 @@
   private readonly connections: ServerConnections;
   private readonly controlServer: Http2Server;
   private readonly controlSessions = new Set<ServerHttp2Session>();
-  private loop: NodeJS.Timeout | undefined;
+  private tickTimer: NodeJS.Timeout | undefined;
   private stopping = false;
   private lastRequestMs = -Infinity;
   private lastTickMs = Infinity;
-  private lastProcessor = process.cpuUsage();
-  private announcementMissing = false;
+  private lastCpuUsage = process.cpuUsage();
+  private wasAnnouncementMissing = false;
 
   private constructor(private readonly settings: DaemonSettings) {
     const format = settings.log_format;
@@ -100,8 +100,8 @@
     });
     this.fleet = Fleet.create(this.logger);
     const { store, fleet, clients, logger, randomness } = this;
-    const sessionId = () => this.keeper.current?.id ?? "";
-    this.keeper = SessionKeeper.create({
+    const sessionId = () => this.sessionManager.current?.id ?? "";
+    this.sessionManager = SessionKeeper.create({
       store,
       fleet,
       clients,
@@ -119,14 +119,14 @@
       isDraining: () => this.stopping || !this.backend.isReady(monotonicMs()),
     });
     this.follower = StoreFollower.create({ store, fleet, logger, randomness });
-    this.spreader = RecordSpreader.create({
+    this.gossiper = RecordSpreader.create({
       fleet,
       clients,
       logger,
       randomness,
       sessionId,
       neighbours: () =>
-        chooseNeighbours(this.keeper.current?.id, {
+        chooseNeighbours(this.sessionManager.current?.id, {
           sessions: fleet.sessions,
           seeds: settings.seeds,
         }),
@@ -146,7 +146,7 @@
     });
     this.forwarder = OwnerForwarder.create({ fleet, sessionId });
     const local = BackendDispatcher.create({
-      session: () => this.keeper.current,
+      session: () => this.sessionManager.current,
       backend: this.backend,
       slotLimiter: this.slotLimiter,
     });
@@ -164,20 +164,20 @@
     this.admin = AdminServer.create({
       logger,
       metrics: this.metrics,
-      onAnnouncement: (announcement) => this.noteAnnouncement(announcement),
+      onAnnouncement: (announcement) => this.handleAnnouncement(announcement),
       isReady: () => !this.stopping && fleet.configuration !== undefined,
-      status: () => this.describe(),
+      status: () => this.createStatus(),
     });
     this.dataServer = createServer({
       maxHeaderSize: MAXIMUM_HEADER_BYTES,
       headersTimeout: HEADERS_TIMEOUT_MS,
-      keepAliveTimeout: KEEP_ALIVE_MS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
     }, (incoming, response) => {
       if (this.connections.discardAfterLastResponse(incoming)) {
         return;
       }
       this.lastRequestMs = monotonicMs();
-      // Whoever keeps this connection is told that it ends, and sends nothing more on it.
+      // While stopping, the response announces the close of its connection, so that the sender does not reuse it.
       response.shouldKeepAlive &&= !this.stopping;
       void this.router.serve(incoming, response);
     });
@@ -185,8 +185,8 @@
     this.controlServer = createHttp2Server(connectNodeAdapter({
       routes: createPeerRoutes({
         fleet,
-        keeper: this.keeper,
-        spreader: this.spreader,
+        keeper: this.sessionManager,
+        spreader: this.gossiper,
         planner: this.planner,
       }),
     }));
@@ -196,14 +196,16 @@
     });
   }
 
-  /** Creates a daemon that does not run yet. */
+  /** Creates a daemon that is not started yet. */
   static create(settings: DaemonSettings): Daemon {
     const daemon = new Daemon(settings);
-    daemon.connectParts();
+    daemon.connectComponents();
     return daemon;
   }
 
-  /** Opens the ports and starts the control loop. */
+  /**
+   * Opens the ports and starts the control loop. Rejects with error `invalid` if a port can't be opened.
+   */
   async start(): Promise<void> {
     const { settings } = this;
     await listen(this.admin.server, {
@@ -221,7 +223,7 @@
       address: settings.address,
       setting: "--data-port",
     });
-    this.loop = setInterval(() => this.tick(), TICK_MS);
+    this.tickTimer = setInterval(() => this.tick(), TICK_INTERVAL_MS);
     const { address, data_port, control_port, admin_port } = settings;
     this.logger.log("process_started", {
       address,
@@ -232,7 +234,8 @@
   }
 
   /**
-   * Stops without cutting anything: keys move away, requests under way finish, then the ports close.
+   * Drains and stops the daemon: its keys move to other owners, requests in flight finish, then the ports close.
+   * Waits at most `drain_ms`, after which remaining connections are closed.
    */
   async stop(): Promise<void> {
     if (this.stopping) {
@@ -240,18 +243,18 @@
     }
     this.stopping = true;
     this.logger.log("process_stopping");
-    const until = monotonicMs() + this.settings.drain_ms;
-    while (monotonicMs() < until && this.ownsAnything()) {
-      await sleep(TICK_MS);
+    const deadlineMs = monotonicMs() + this.settings.drain_ms;
+    while (monotonicMs() < deadlineMs && this.ownsKeys()) {
+      await sleep(TICK_INTERVAL_MS);
     }
     this.lastRequestMs = Math.max(this.lastRequestMs, monotonicMs());
-    while (monotonicMs() < until && !this.isQuiet()) {
-      await sleep(TICK_MS);
+    while (monotonicMs() < deadlineMs && !this.isQuiet()) {
+      await sleep(TICK_INTERVAL_MS);
     }
     this.connections.stopListening();
     this.connections.closeIdle();
-    while (monotonicMs() < until && this.connections.busyCount > 0) {
-      await sleep(TICK_MS);
+    while (monotonicMs() < deadlineMs && this.connections.busyCount > 0) {
+      await sleep(TICK_INTERVAL_MS);
       this.connections.closeIdle();
     }
     await this.close();
@@ -259,18 +262,18 @@
   }
 
   /**
-   * Whether nothing is under way and nothing has come for a while. A connection that is closed as soon as it is
-   * idle may bring a request in the same moment, which then may have run as far as its sender knows.
+   * Whether no request is in flight and none has arrived for `QUIET_PERIOD_MS`. If a connection were closed as soon as
+   * it is idle, a request could arrive on it at the same moment, and its sender could not know whether it ran.
    */
   private isQuiet(): boolean {
     return this.router.activeCount === 0 &&
-      monotonicMs() - this.lastRequestMs >= QUIET_MS;
+      monotonicMs() - this.lastRequestMs >= QUIET_PERIOD_MS;
   }
 
   private async close(): Promise<void> {
-    clearInterval(this.loop);
+    clearInterval(this.tickTimer);
     await this.planner.close();
-    await this.keeper.close(this.router.activeCount === 0);
+    await this.sessionManager.close(this.router.activeCount === 0);
     this.follower.stop();
     this.clients.close();
     this.admin.server.close();
@@ -285,11 +288,11 @@
     ]);
   }
 
-  private connectParts(): void {
+  private connectComponents(): void {
     this.fleet.onChange(() => {
-      this.spreader.push();
+      this.gossiper.push();
       const shards = this.fleet.state.shards.map((shard) => shard.record);
-      this.keeper.current?.noteAssignments(shards, wallClockMs());
+      this.sessionManager.current?.noteAssignments(shards, wallClockMs());
       this.clients.retain(
         new Set(this.fleet.sessions.map((session) => session.control_address)),
       );
@@ -316,7 +319,7 @@
     );
     this.metrics.gauge(
       "bamboolink_serving",
-      () => this.keeper.current?.state === "serving" ? 1 : 0,
+      () => this.sessionManager.current?.state === "serving" ? 1 : 0,
     );
     this.metrics.gauge(
       "bamboolink_planner",
@@ -326,24 +329,24 @@
 
   private tick(): void {
     const nowMs = monotonicMs();
-    this.noteStall(nowMs);
-    const session = this.keeper.current;
+    this.logStall(nowMs);
+    const session = this.sessionManager.current;
     const serving = session?.state === "serving" ? session.id : undefined;
-    this.follower.tick(nowMs, this.shouldFollow(session?.id));
-    this.keeper.tick(nowMs);
-    this.spreader.tick(nowMs);
+    this.follower.tick(nowMs, this.shouldFollowStore(session?.id));
+    this.sessionManager.tick(nowMs);
+    this.gossiper.tick(nowMs);
     this.planner.tick(nowMs, this.stopping ? undefined : serving);
     this.reporter.tick(nowMs, session);
     this.slotLimiter.tick(nowMs);
-    this.noteMissingAnnouncement(nowMs);
+    this.logMissingAnnouncement(nowMs);
   }
 
-  private noteStall(nowMs: number): void {
-    const lateMs = Math.round(nowMs - this.lastTickMs - TICK_MS);
-    const { user, system } = process.cpuUsage(this.lastProcessor);
+  private logStall(nowMs: number): void {
+    const lateMs = Math.round(nowMs - this.lastTickMs - TICK_INTERVAL_MS);
+    const { user, system } = process.cpuUsage(this.lastCpuUsage);
     this.lastTickMs = nowMs;
-    this.lastProcessor = process.cpuUsage();
-    if (lateMs > STALL_MS) {
+    this.lastCpuUsage = process.cpuUsage();
+    if (lateMs > STALL_THRESHOLD_MS) {
       this.logger.log("process_stalled", {
         late_ms: lateMs,
         processor_ms: Math.round((user + system) / 1_000),
@@ -351,27 +354,33 @@
     }
   }
 
-  private noteMissingAnnouncement(nowMs: number): void {
+  private logMissingAnnouncement(nowMs: number): void {
     const isMissing = this.backend.isAnnouncementOverdue(nowMs);
-    if (isMissing && !this.announcementMissing) {
+    if (isMissing && !this.wasAnnouncementMissing) {
       this.logger.log("announcement_missing");
     }
-    this.announcementMissing = isMissing;
+    this.wasAnnouncementMissing = isMissing;
   }
 
-  /** Daemons without a session follow the store themselves until they have one. */
-  private shouldFollow(session: string | undefined): boolean {
+  /**
+   * Whether this daemon reads records from the store: as planner, as one of the fleet's watchers, or while it has no
+   * session.
+   */
+  private shouldFollowStore(session: string | undefined): boolean {
     return session === undefined || this.planner.isPlanner ||
       this.fleet.watchers.some(({ id }) => id === session);
   }
 
-  private noteAnnouncement(announcement: Announcement): readonly string[] {
+  private handleAnnouncement(announcement: Announcement): readonly string[] {
     const conflicts = this.backend.findConflicts(announcement);
     if (conflicts.length > 0) {
       this.backend.disconnect();
       return conflicts;
     }
-    const isNew = this.backend.recordAnnouncement(announcement, monotonicMs());
+    const hasChanged = this.backend.recordAnnouncement(
+      announcement,
+      monotonicMs(),
+    );
     const service = this.fleet.configuration?.services.get(
       announcement.service,
     );
@@ -379,19 +388,26 @@
       slots: announcement.slots,
       length: service?.queue.length ?? 0,
     });
-    if (isNew) {
+    if (hasChanged) {
       this.logger.log("announcement_accepted", { ...announcement });
     }
     return [];
   }
 
-  private describe(): unknown {
-    const { settings, fleet, keeper, planner, follower, slotLimiter, router } =
-      this;
+  private createStatus(): unknown {
+    const {
+      settings,
+      fleet,
+      sessionManager,
+      planner,
+      follower,
+      slotLimiter,
+      router,
+    } = this;
     return describeStatus({
       settings,
       fleet,
-      keeper,
+      sessionManager,
       planner,
       follower,
       slotLimiter,
@@ -400,8 +416,8 @@
     });
   }
 
-  private ownsAnything(): boolean {
-    const id = this.keeper.current?.id;
+  private ownsKeys(): boolean {
+    const id = this.sessionManager.current?.id;
     return id !== undefined &&
       this.fleet.state.shards.some(({ record }) =>
         record.sessions.includes(id)
@@ -411,13 +427,13 @@
 
 function listen(
   server: Server | Http2Server,
-  at: { port: number; address: string; setting: string },
+  endpoint: { port: number; address: string; setting: string },
 ): Promise<void> {
   return new Promise((resolve, reject) => {
     server.once("error", (cause) => {
-      const peer = `${at.address}:${at.port}`;
+      const peer = `${endpoint.address}:${endpoint.port}`;
       const message =
-        `setting ${at.setting}: can't listen at ${peer}: ${cause.message}`;
+        `setting ${endpoint.setting}: can't listen at ${peer}: ${cause.message}`;
       reject(
         BamboolinkError.create("invalid", message, {
           step: "daemon.listen",
@@ -426,6 +442,6 @@
         }),
       );
     });
-    server.listen(at.port, at.address, () => resolve());
+    server.listen(endpoint.port, endpoint.address, () => resolve());
   });
 }
--- a/packages/daemon/src/daemon_settings.ts
+++ b/packages/daemon/src/daemon_settings.ts
@@ -19,10 +19,10 @@
   host: name.describe("Name of this host, unique in the fleet."),
   region: name.describe("Region of this host."),
   availability_zone: name.describe(
-    "Availability zone of this host, as the configuration names it.",
+    "Availability zone of this host, by its name in the configuration.",
   ),
   address: z.string({ error: "expected an IP address" }).min(1).describe(
-    "IP address at which other daemons and callers reach this host.",
+    "IP address at which callers and other daemons reach this host.",
   ),
   data_port: port.default(7080).describe(
     "Port for callers and forwarding daemons.",
@@ -36,31 +36,33 @@
   store: z.url({ error: "expected a URL such as http://127.0.0.1:2379" })
     .describe("URL of the platform's key-value service."),
   store_timeout_ms: milliseconds.default(1_000).describe(
-    "How long one call to the store may take.",
+    "Timeout of one call to the store, in milliseconds.",
   ),
   store_calls_per_second: z.coerce.number().min(1).max(1_000).default(50)
     .describe(
-      "The most calls a second that this process makes to the store, over time.",
+      "Maximum average rate of this process's calls to the store, in calls per second.",
     ),
   store_call_burst: z.coerce.number().min(1).max(10_000).default(600).describe(
-    "The most calls that it makes at once, for example in a takeover.",
+    "Maximum number of store calls in a burst, for example during a takeover.",
   ),
   seeds: z.string().default("").describe(
-    "Control addresses of other daemons, with commas, for a start while the store is down.",
+    "Control addresses of other daemons, separated by commas, used to start while the store is down.",
   ),
   drain_ms: milliseconds.default(30_000).describe(
-    "How long a stop waits for keys to move and requests to finish.",
+    "How long a stopping daemon waits for its keys to move and its requests to finish, in milliseconds.",
   ),
   maximum_body_bytes: z.coerce.number().int().min(0).max(1_073_741_824).default(
     16_777_216,
-  ).describe("The largest body of a request."),
+  ).describe("Maximum size of a request body, in bytes."),
   maximum_waiting: z.coerce.number().int().min(0).max(1_000_000).default(2_000)
-    .describe("Requests that may wait here for a key to get an owner."),
+    .describe(
+      "Maximum number of requests that wait at this daemon until their key has an owner.",
+    ),
   log_format: z.enum(["human", "json"], { error: "expected human or json" })
-    .default("human").describe("How log lines are written."),
+    .default("human").describe("Format of log lines."),
   log_level: z.enum(["error", "warn", "info", "debug"], {
     error: "expected error, warn, info or debug",
-  }).default("info").describe("The least severity that is written."),
+  }).default("info").describe("Minimum severity of log lines."),
 });
 /** The daemon's settings. */
 export type DaemonSettings = z.infer<typeof DaemonSettings>;
--- a/packages/daemon/src/daemon_status.ts
+++ b/packages/daemon/src/daemon_status.ts
@@ -11,12 +11,12 @@
 import type { SlotLimiter } from "./slot_limiter.ts";
 import type { StoreFollower } from "./store_follower.ts";
 
-/** Describes a daemon as plain data. */
+/** Returns the status of a daemon as plain data, as the admin server sends it. */
 export function describeStatus(
   parts: {
     settings: DaemonSettings;
     fleet: Fleet;
-    keeper: SessionKeeper;
+    sessionManager: SessionKeeper;
     planner: Planner;
     follower: StoreFollower;
     slotLimiter: SlotLimiter;
@@ -24,7 +24,7 @@
     nowMs: number;
   },
 ): unknown {
-  const session = parts.keeper.current;
+  const session = parts.sessionManager.current;
   return {
     host: parts.settings.host,
     availability_zone: parts.settings.availability_zone,
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -9,12 +9,12 @@
 import { Daemon } from "./daemon.ts";
 import { DaemonSettings } from "./daemon_settings.ts";
 
-/** Exit code of a daemon that could not start or stop as it should. */
+/** Exit code of a daemon that failed to start or to stop. */
 const EXIT_FAILED = 1;
 
 const settings = readSettingsOrExit(DaemonSettings, {
   name: "bamboolinkd",
-  purpose: "the bamboolink daemon beside one backend server",
+  purpose: "the bamboolink daemon on the host of one backend server",
 });
 const { host, log_format: format, log_level: level } = settings;
 const logger = Logger.create(host, { format, level });
--- a/packages/daemon/src/mod.ts
+++ b/packages/daemon/src/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The process beside each backend server: it accepts callers, finds the owner of each key, forwards
- * to the owner's daemon and hands requests to its own backend server.
+ * The daemon on the host of each backend server: it accepts requests of callers, finds the owner of each key, forwards
+ * requests to the owner's daemon, and sends those for its own keys to its backend server.
  *
  * @module
  */
--- a/packages/daemon/src/response_writer.ts
+++ b/packages/daemon/src/response_writer.ts
@@ -106,7 +106,7 @@
   }
 
   private writeOutcome(
-    answer: {
+    details: {
       status: number;
       outcome: Outcome;
       reason: string;
@@ -116,24 +116,24 @@
   ): Outcome {
     const { response, requestId } = this.context;
     const body: OutcomeBody = {
-      outcome: answer.outcome,
-      reason: answer.reason,
-      message: answer.message,
+      outcome: details.outcome,
+      reason: details.reason,
+      message: details.message,
       request_id: requestId,
       ...(retryAfterMs === undefined ? {} : { retry_after_ms: retryAfterMs }),
     };
     const text = JSON.stringify(body);
-    response.writeHead(answer.status, {
+    response.writeHead(details.status, {
       "content-type": "application/json",
       "content-length": Buffer.byteLength(text),
-      [HEADERS.outcome]: answer.outcome,
-      [HEADERS.reason]: answer.reason,
+      [HEADERS.outcome]: details.outcome,
+      [HEADERS.reason]: details.reason,
       ...(retryAfterMs === undefined
         ? {}
         : { "retry-after": String(Math.ceil(retryAfterMs / 1_000)) }),
     });
     response.end(text);
-    return answer.outcome;
+    return details.outcome;
   }
 }
 
--- a/packages/daemon/src/slot_limiter.ts
+++ b/packages/daemon/src/slot_limiter.ts
@@ -53,7 +53,7 @@
       this.settle(id, {
         kind: "refuse",
         reason: "queue_full",
-        waitMs: this.fullWaitMs(),
+        waitMs: this.expectedQueueWaitMs(),
       })
     );
     if (verdict.kind !== "wait") {
@@ -79,22 +79,26 @@
       nowMs: monotonicMs(),
       ...(tookMs === undefined ? {} : { tookMs }),
     };
-    this.apply(this.queue.finish(id, at));
+    this.applyChanges(this.queue.finish(id, at));
   }
 
   /** Refuses waiting requests that can no longer be served before their deadline. */
   tick(nowMs: number): void {
-    this.apply(this.queue.advance(nowMs));
+    this.applyChanges(this.queue.advance(nowMs));
   }
 
-  private apply(changes: ReturnType<SlotQueue["advance"]>): void {
+  private applyChanges(changes: ReturnType<SlotQueue["advance"]>): void {
     changes.run.forEach((id) => this.settle(id, { kind: "run" }));
     changes.refuse.forEach(({ id, reason }) =>
-      this.settle(id, { kind: "refuse", reason, waitMs: this.fullWaitMs() })
+      this.settle(id, {
+        kind: "refuse",
+        reason,
+        waitMs: this.expectedQueueWaitMs(),
+      })
     );
   }
 
-  private fullWaitMs(): number {
+  private expectedQueueWaitMs(): number {
     return this.queue.expectedWaitMs(this.queue.waitingCount);
   }
 
