--- a/packages/daemon/src/request_router.ts
+++ b/packages/daemon/src/request_router.ts
@@ -66,7 +66,7 @@
     return this.waiting;
   }
 
-  /** Serves one request. The caller receives a complete response or a closed connection, never a partial response. */
+  /** Serves one request. The connection is closed where a response can't be completed, so none looks complete by mistake. */
   async serve(
     incoming: IncomingMessage,
     response: ServerResponse,
@@ -262,7 +262,7 @@
     });
   }
 
-  /** Records metrics; the label `hop` separates the owner's part of a forwarded request, so that each is counted once. */
+  /** Records metrics; the label `hop` separates forwarded requests, so that each can be counted once, where it arrived. */
   private record(
     outcome: CountedOutcome,
     request: { match: Match | undefined; tookMs: number; forwarded: boolean },
