--- a/packages/daemon/src/backend_dispatcher.ts
+++ b/packages/daemon/src/backend_dispatcher.ts
@@ -1,5 +1,5 @@
 /**
- * Hands requests to the backend server on this host, as the owner of their keys.
+ * Sends requests to the backend server on this host, which owns their keys.
  *
  * @module
  */
@@ -19,32 +19,34 @@
 } from "./attempt.ts";
 import type { BackendConnection } from "./backend_connection.ts";
 import { monotonicMs, wallClockMs } from "./clock.ts";
-import { isNeverConnected } from "./connection_errors.ts";
-import { readSingle, selectEndToEnd } from "./http_headers.ts";
+import { isConnectFailure } from "./connection_errors.ts";
+import { readSingleHeader, selectEndToEndHeaders } from "./http_headers.ts";
 import type { OwnSession } from "./own_session.ts";
-import type { SlotGate } from "./slot_gate.ts";
+import type { SlotLimiter } from "./slot_limiter.ts";
 
-/** Answers of non-idempotent requests are kept for resends up to this size, in bytes. */
-const KEPT_ANSWER_BYTES = 16_384;
-/** Wall clocks of callers may be this much ahead, in milliseconds. */
-const FUTURE_KEY_MS = 5_000;
+/** Larger responses to non-idempotent requests are not stored for retries. */
+const MAX_STORED_RESPONSE_BYTES = 16_384;
+/** How far a caller's wall clock may be ahead of this host's. */
+const MAX_CLOCK_SKEW_MS = 5_000;
 
-/** What the dispatcher needs. */
+/** Dependencies of the dispatcher. */
 export interface BackendDispatcherContext {
   readonly session: () => OwnSession | undefined;
   readonly backend: BackendConnection;
-  readonly gate: SlotGate;
+  readonly slotLimiter: SlotLimiter;
 }
 
-/** The backend server on this host. */
+/**
+ * Makes attempts on the backend server of this host: checks the right to serve the key, claims the idempotency key of
+ * a non-idempotent request, waits for a slot and sends the request with the fencing token of its assignment.
+ */
 export class BackendDispatcher extends Destination {
-  private slots = 0;
+  private lastSlotId = 0;
 
   private constructor(private readonly context: BackendDispatcherContext) {
     super();
   }
 
-  /** Creates a dispatcher. */
   static create(context: BackendDispatcherContext): BackendDispatcher {
     return new BackendDispatcher(context);
   }
@@ -64,10 +66,10 @@
     const result = await this.admit(request, { session, assignment });
     return claim.name === undefined
       ? result
-      : await keepAnswer(result, { session, name: claim.name });
+      : await storeResponse(result, { session, name: claim.name });
   }
 
-  /** Claims the right to run a non-idempotent request that names itself. */
+  /** Claims the right to run a non-idempotent request that has an idempotency key; other requests need no claim. */
   private claim(
     request: RoutedRequest,
     owner: { session: OwnSession; assignment: Assignment },
@@ -75,13 +77,16 @@
     kind: "refused";
     result: AttemptResult;
   } {
-    const key = readSingle(request.headers, HEADERS.idempotencyKey);
-    if (request.match.operation.idempotent || key === undefined) {
+    const idempotencyKey = readSingleHeader(
+      request.headers,
+      HEADERS.idempotencyKey,
+    );
+    if (request.match.operation.idempotent || idempotencyKey === undefined) {
       return { kind: "claimed", name: undefined };
     }
     const nowMs = wallClockMs();
-    const firstSentMs = readFirstSentMs(key);
-    if (firstSentMs === undefined || firstSentMs > nowMs + FUTURE_KEY_MS) {
+    const firstSentMs = readFirstSentMs(idempotencyKey);
+    if (firstSentMs === undefined || firstSentMs > nowMs + MAX_CLOCK_SKEW_MS) {
       const message =
         `header ${HEADERS.idempotencyKey}: expected a UUID of version 7 that is not from the future`;
       return {
@@ -89,7 +94,8 @@
         result: { kind: "invalid", status: 400, message },
       };
     }
-    const name = `${request.match.service.name}\n${request.match.key}\n${key}`;
+    const name =
+      `${request.match.service.name}\n${request.match.key}\n${idempotencyKey}`;
     const claim = owner.session.idempotency.claim({
       idempotencyKey: name,
       fingerprint: fingerprintOf(request),
@@ -101,22 +107,22 @@
     });
     return claim.kind === "run"
       ? { kind: "claimed", name }
-      : { kind: "refused", result: describeClaim(claim) };
+      : { kind: "refused", result: toClaimResult(claim) };
   }
 
   private async admit(
     request: RoutedRequest,
     owner: { session: OwnSession; assignment: Assignment },
   ): Promise<AttemptResult> {
-    const { gate } = this.context;
-    // Callers choose the identity of a request and may use one twice; a slot has one of its own.
-    this.slots += 1;
+    const { slotLimiter } = this.context;
+    // Callers choose the request id and may use one twice, so slots have ids of their own.
+    this.lastSlotId += 1;
     const slot = {
-      id: String(this.slots),
+      id: String(this.lastSlotId),
       priority: request.match.operation.priority,
       deadlineMs: request.deadlineMs,
     };
-    const outcome = await gate.enter(slot, request.signal);
+    const outcome = await slotLimiter.acquire(slot, request.signal);
     switch (outcome.kind) {
       case "cancelled":
         return notRun(
@@ -130,60 +136,63 @@
           { waitMs: outcome.waitMs },
         );
       case "run":
-        return await this.handOver(request, { ...owner, slot: slot.id });
+        return await this.dispatch(request, { ...owner, slot: slot.id });
     }
   }
 
-  /** From here on bytes may reach the backend server. */
-  private async handOver(
+  /**
+   * Sends the request to the backend server. Once it is being sent, a failure other than a failed connect is reported
+   * as unknown, as bytes may have arrived.
+   */
+  private async dispatch(
     request: RoutedRequest,
     owner: { session: OwnSession; assignment: Assignment; slot: string },
   ): Promise<AttemptResult> {
     const { session, assignment, slot } = owner;
-    const { gate, backend } = this.context;
+    const { slotLimiter, backend } = this.context;
     const startedMs = monotonicMs();
-    // The wait for a slot may have outlived the lease or the assignment, and the process may have
-    // been paused, so both are looked at again at the last moment.
+    // The lease or the assignment may have ended during the wait for a slot, and the process may have been paused, so
+    // both are checked again just before sending.
     const mayServe = session.mayServe(assignment, startedMs) &&
       session.allowsWork(request.deadlineMs - startedMs);
     if (!mayServe || backend.connections === undefined) {
-      gate.leave(slot);
+      slotLimiter.release(slot);
       return notRun("not_owner", "this daemon may not serve the key any more");
     }
     session.releases.beginRequest(assignment);
-    const end = (tookMs?: number) => {
-      gate.leave(slot, tookMs);
+    const finish = (tookMs?: number) => {
+      slotLimiter.release(slot, tookMs);
       session.releases.endRequest(assignment);
     };
     try {
       const response = await backend.connections.request(
-        this.backendRequest(request, { ...owner, startedMs }),
+        this.createBackendRequest(request, { ...owner, startedMs }),
       );
       if (response.headers[HEADERS.fenced] === "1") {
         await response.body.dump();
-        end();
+        finish();
         return notRun(
           "fenced",
           "the backend server refused the fencing token or the grant",
         );
       }
       finished(response.body).then(
-        () => end(monotonicMs() - startedMs),
-        () => end(),
+        () => finish(monotonicMs() - startedMs),
+        () => finish(),
       );
       return {
         kind: "answer",
         status: response.statusCode,
-        headers: selectEndToEnd(response.headers),
+        headers: selectEndToEndHeaders(response.headers),
         body: response.body,
       };
     } catch (cause) {
-      end();
-      return describeFailure(cause, request.signal);
+      finish();
+      return toFailureResult(cause, request.signal);
     }
   }
 
-  private backendRequest(
+  private createBackendRequest(
     request: RoutedRequest,
     owner: { session: OwnSession; assignment: Assignment; startedMs: number },
   ): Dispatcher.RequestOptions {
@@ -208,7 +217,7 @@
   }
 }
 
-/** One request may not borrow the idempotency key of another. */
+/** Fingerprint of the request's content, so that an idempotency key used for a different request is detected. */
 function fingerprintOf(request: RoutedRequest): string {
   const hash = createHash("sha1").update(`${request.method} ${request.url}\n`);
   const body = request.body.isReplayable ? request.body.open() : null;
@@ -217,7 +226,7 @@
   );
 }
 
-function describeClaim(
+function toClaimResult(
   claim: Exclude<AttemptClaim, { kind: "run" }>,
 ): AttemptResult {
   switch (claim.kind) {
@@ -248,8 +257,8 @@
   }
 }
 
-/** Keeps the answer for resends; whatever is too large or ends early is remembered as unknown. */
-async function keepAnswer(
+/** Stores the response for retries; a response that is too large or incomplete is recorded as unknown. */
+async function storeResponse(
   result: AttemptResult,
   claim: { session: OwnSession; name: string },
 ): Promise<AttemptResult> {
@@ -263,7 +272,9 @@
     return result;
   }
   const declared = Number(result.headers["content-length"] ?? Infinity);
-  if (!(result.body instanceof Readable) || declared > KEPT_ANSWER_BYTES) {
+  if (
+    !(result.body instanceof Readable) || declared > MAX_STORED_RESPONSE_BYTES
+  ) {
     idempotency.recordUnknown(claim.name);
     return result;
   }
@@ -285,11 +296,17 @@
   }
 }
 
-function describeFailure(cause: unknown, signal: AbortSignal): AttemptResult {
-  if (isNeverConnected(cause)) {
-    return notRun("backend_unreachable", "the backend server can't be reached");
+function toFailureResult(cause: unknown, signal: AbortSignal): AttemptResult {
+  if (isConnectFailure(cause)) {
+    return notRun(
+      "backend_unreachable",
+      "the backend server can't be reached",
+    );
   }
   return signal.aborted
-    ? unknown("deadline", "the time was up before the backend server answered")
+    ? unknown(
+      "deadline",
+      "the time was up before the backend server answered",
+    )
     : unknown("connection_lost", "the connection to the backend server broke");
 }
--- a/packages/daemon/src/connection_errors.ts
+++ b/packages/daemon/src/connection_errors.ts
@@ -1,10 +1,10 @@
 /**
- * Tells errors of a connection that was never made from those after which bytes may have arrived.
+ * Distinguishes failures to connect from errors after which bytes of a request may have arrived.
  *
  * @module
  */
 
-const NOT_CONNECTED = new Set([
+const CONNECT_FAILURE_CODES = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
   "ENETUNREACH",
@@ -12,10 +12,12 @@
   "UND_ERR_CONNECT_TIMEOUT",
 ]);
 
-/** Whether no byte of the request can have reached the peer. */
-export function isNeverConnected(cause: unknown): boolean {
-  return NOT_CONNECTED.has((cause as NodeJS.ErrnoException | null)?.code ?? "");
+/** Whether the connection was never established, so that no byte of the request can have reached the peer. */
+export function isConnectFailure(cause: unknown): boolean {
+  return CONNECT_FAILURE_CODES.has(
+    (cause as NodeJS.ErrnoException | null)?.code ?? "",
+  );
 }
 
-/** How long a connection attempt may take, in milliseconds. */
+/** Timeout of a connection attempt. */
 export const CONNECT_TIMEOUT_MS = 500;
--- a/packages/daemon/src/answer_writer.ts
+++ b/packages/daemon/src/response_writer.ts
@@ -1,5 +1,5 @@
 /**
- * Writes the one answer of a request to its caller.
+ * Writes the one response of a request to its caller.
  *
  * @module
  */
@@ -10,19 +10,19 @@
 import { HEADERS, type Outcome, type OutcomeBody } from "@bamboolink/types";
 import type { AttemptResult } from "./attempt.ts";
 
-/** What a caller may need beside the answer. */
-export interface AnswerHints {
-  /** Where the owner's daemon is reached directly. */
+/** Additional information for the caller, sent in headers. */
+export interface ResponseHints {
+  /** Address at which callers reach the owner's daemon directly; `undefined` if it is not known. */
   readonly owner: string | undefined;
-  /** When a refused caller may come back, in milliseconds. */
+  /** When the caller of a refused request may retry, in milliseconds. */
   readonly retryAfterMs: number;
 }
 
-/** What is counted as the end of a request. */
-export type RequestEnd = Outcome | "invalid" | "cut";
+/** Outcome of a request as counted in metrics; `cut` is a response whose body broke off. */
+export type CountedOutcome = Outcome | "invalid" | "cut";
 
-/** Writes the answer of one request. */
-export class AnswerWriter {
+/** Writes the response of one request. */
+export class ResponseWriter {
   private constructor(
     private readonly context: {
       response: ServerResponse;
@@ -31,15 +31,17 @@
     },
   ) {}
 
-  /** Creates a writer for one response. */
   static create(
     context: { response: ServerResponse; requestId: string; logger: Logger },
-  ): AnswerWriter {
-    return new AnswerWriter(context);
+  ): ResponseWriter {
+    return new ResponseWriter(context);
   }
 
-  /** Writes the answer and returns how the request ended. */
-  async write(result: AttemptResult, hints: AnswerHints): Promise<RequestEnd> {
+  /** Writes the response and returns the request's outcome. */
+  async write(
+    result: AttemptResult,
+    hints: ResponseHints,
+  ): Promise<CountedOutcome> {
     const { response, logger, requestId } = this.context;
     if (response.destroyed) {
       discard(result);
@@ -51,13 +53,13 @@
     }
     switch (result.kind) {
       case "answer":
-        return await this.writeAnswer(result);
+        return await this.writeResponse(result);
       case "not_run":
         logger.log("request_refused", {
           request_id: requestId,
           reason: result.reason,
         });
-        return this.writeOwn(
+        return this.writeOutcome(
           { ...result, status: 503, outcome: "not_run" },
           hints.retryAfterMs,
         );
@@ -66,20 +68,20 @@
           request_id: requestId,
           reason: result.reason,
         });
-        return this.writeOwn({
+        return this.writeOutcome({
           ...result,
-          status: statusOfUnknown(result.reason),
+          status: statusForUnknown(result.reason),
           outcome: "unknown",
         });
       case "invalid":
-        this.writeOwn({ ...result, reason: "invalid", outcome: "not_run" });
+        this.writeOutcome({ ...result, reason: "invalid", outcome: "not_run" });
         return "invalid";
     }
   }
 
-  private async writeAnswer(
+  private async writeResponse(
     result: Extract<AttemptResult, { kind: "answer" }>,
-  ): Promise<RequestEnd> {
+  ): Promise<CountedOutcome> {
     const { response, logger, requestId } = this.context;
     response.writeHead(result.status, {
       ...result.headers,
@@ -93,8 +95,8 @@
       await pipeline(result.body, response);
       return "done";
     } catch (cause) {
-      // Ending the response here would pass half an answer off as a whole one; a cut connection can't
-      // be mistaken. `pipeline` has destroyed the response.
+      // Ending the response here would make a partial body look complete, whereas a closed connection is
+      // unambiguous. `pipeline` has destroyed the response.
       if (result.body.errored !== null && !isAborted(result.body.errored)) {
         logger.log("answer_cut", { request_id: requestId, cause });
         return "cut";
@@ -103,8 +105,8 @@
     }
   }
 
-  private writeOwn(
-    answer: {
+  private writeOutcome(
+    details: {
       status: number;
       outcome: Outcome;
       reason: string;
@@ -114,29 +116,32 @@
   ): Outcome {
     const { response, requestId } = this.context;
     const body: OutcomeBody = {
-      outcome: answer.outcome,
-      reason: answer.reason,
-      message: answer.message,
+      outcome: details.outcome,
+      reason: details.reason,
+      message: details.message,
       request_id: requestId,
       ...(retryAfterMs === undefined ? {} : { retry_after_ms: retryAfterMs }),
     };
     const text = JSON.stringify(body);
-    response.writeHead(answer.status, {
+    response.writeHead(details.status, {
       "content-type": "application/json",
       "content-length": Buffer.byteLength(text),
-      [HEADERS.outcome]: answer.outcome,
-      [HEADERS.reason]: answer.reason,
+      [HEADERS.outcome]: details.outcome,
+      [HEADERS.reason]: details.reason,
       ...(retryAfterMs === undefined
         ? {}
         : { "retry-after": String(Math.ceil(retryAfterMs / 1_000)) }),
     });
     response.end(text);
-    return answer.outcome;
+    return details.outcome;
   }
 }
 
-/** The time was up: 504. The connection broke: 502. A resend that can't be told from new work: 409. */
-function statusOfUnknown(reason: string): number {
+/**
+ * Status code for an unknown outcome. Deadline passed: 504. Connection broke: 502. Retry that can't be distinguished
+ * from a new request: 409.
+ */
+function statusForUnknown(reason: string): number {
   switch (reason) {
     case "deadline":
       return 504;
--- a/packages/daemon/src/slot_gate.ts
+++ b/packages/daemon/src/slot_limiter.ts
@@ -1,5 +1,6 @@
 /**
- * Lets requests wait for a slot of the backend server; the decisions are those of `SlotQueue`.
+ * Limits the requests that run on the backend server to its slots. `SlotQueue` decides; this class resolves the
+ * promises of the waiting requests.
  *
  * @module
  */
@@ -10,8 +11,8 @@
 } from "@bamboolink/admission";
 import { monotonicMs } from "./clock.ts";
 
-/** How a request got out of the gate. */
-export type GateOutcome =
+/** Result of waiting for a slot; `waitMs` is the expected wait in the queue, in milliseconds. */
+export type SlotOutcome =
   | { readonly kind: "run" }
   | {
     readonly kind: "refuse";
@@ -20,26 +21,24 @@
   }
   | { readonly kind: "cancelled" };
 
-/** The gate in front of the backend server's slots. */
-export class SlotGate {
+/** Hands out the backend server's slots, and queues requests while none is free. */
+export class SlotLimiter {
   private readonly queue: SlotQueue;
-  private readonly waiting = new Map<string, (outcome: GateOutcome) => void>();
+  private readonly waiting = new Map<string, (outcome: SlotOutcome) => void>();
 
   private constructor(limits: SlotQueueLimits) {
     this.queue = SlotQueue.create(limits);
   }
 
-  /** Creates an open gate. */
-  static create(limits: SlotQueueLimits): SlotGate {
-    return new SlotGate(limits);
+  static create(limits: SlotQueueLimits): SlotLimiter {
+    return new SlotLimiter(limits);
   }
 
-  /** Changes the limits. */
   setLimits(limits: SlotQueueLimits): void {
     this.queue.setLimits(limits);
   }
 
-  /** How many requests run and wait. */
+  /** Numbers of running and of waiting requests. */
   get counts(): { running: number; waiting: number } {
     return {
       running: this.queue.runningCount,
@@ -47,59 +46,63 @@
     };
   }
 
-  /** Waits for a slot. */
-  enter(request: SlotRequest, signal: AbortSignal): Promise<GateOutcome> {
+  /** Waits for a slot. Abort of the signal removes the request from the queue. */
+  acquire(request: SlotRequest, signal: AbortSignal): Promise<SlotOutcome> {
     const { decision, displaced } = this.queue.offer(request, monotonicMs());
     displaced.forEach((id) =>
       this.settle(id, {
         kind: "refuse",
         reason: "queue_full",
-        waitMs: this.fullWaitMs(),
+        waitMs: this.expectedQueueWaitMs(),
       })
     );
     if (decision.kind !== "wait") {
       return Promise.resolve(decision);
     }
     return new Promise((resolve) => {
-      const leave = () => {
+      const onAbort = () => {
         if (this.queue.cancel(request.id)) {
           this.settle(request.id, { kind: "cancelled" });
         }
       };
-      signal.addEventListener("abort", leave, { once: true });
+      signal.addEventListener("abort", onAbort, { once: true });
       this.waiting.set(request.id, (outcome) => {
-        signal.removeEventListener("abort", leave);
+        signal.removeEventListener("abort", onAbort);
         resolve(outcome);
       });
     });
   }
 
-  /** Gives a slot back. Pass how long it was held, where that says something of the backend server. */
-  leave(id: string, tookMs?: number): void {
+  /** Releases a slot. Pass `tookMs`, how long it was held, only if that measures the backend server's service time. */
+  release(id: string, tookMs?: number): void {
     const at = {
       nowMs: monotonicMs(),
       ...(tookMs === undefined ? {} : { tookMs }),
     };
-    this.apply(this.queue.finish(id, at));
+    this.applyChanges(this.queue.finish(id, at));
   }
 
-  /** Gives up waiting requests that can't be served in time any more. */
+  /** Refuses waiting requests that can no longer be served before their deadline. */
   tick(nowMs: number): void {
-    this.apply(this.queue.advance(nowMs));
+    this.applyChanges(this.queue.advance(nowMs));
   }
 
-  private apply(changes: ReturnType<SlotQueue["advance"]>): void {
+  private applyChanges(changes: ReturnType<SlotQueue["advance"]>): void {
     changes.run.forEach((id) => this.settle(id, { kind: "run" }));
     changes.refuse.forEach(({ id, reason }) =>
-      this.settle(id, { kind: "refuse", reason, waitMs: this.fullWaitMs() })
+      this.settle(id, {
+        kind: "refuse",
+        reason,
+        waitMs: this.expectedQueueWaitMs(),
+      })
     );
   }
 
-  private fullWaitMs(): number {
+  private expectedQueueWaitMs(): number {
     return this.queue.expectedWaitMs(this.queue.waitingCount);
   }
 
-  private settle(id: string, outcome: GateOutcome): void {
+  private settle(id: string, outcome: SlotOutcome): void {
     const resolve = this.waiting.get(id);
     this.waiting.delete(id);
     resolve?.(outcome);
