--- a/scripts/bench/capacity.mjs
+++ b/scripts/bench/capacity.mjs
@@ -101,7 +101,7 @@
   const names = hosts.map(({ host }) => `daemon-${host}`);
   const read = () =>
     names.map((name) => ({
-      core: fleet.processorMs(name),
+      core: fleet.cpuTimeMs(name),
       bytes: readBytes(fleet.processes.get(name).pid),
     }));
   const before = read();
--- a/scripts/bench/ownership.mjs
+++ b/scripts/bench/ownership.mjs
@@ -6,7 +6,7 @@
  */
 import { fileURLToPath } from "node:url";
 import { setTimeout as sleep } from "node:timers/promises";
-import { ATLAS, ProcessFleet, waitFor } from "../fleet.mjs";
+import { ATLAS_HOSTS, ProcessFleet, waitFor } from "../fleet.mjs";
 import { Prober, summarize } from "./probe.mjs";
 
 const document = fileURLToPath(
@@ -31,7 +31,9 @@
 
 async function runCases(fleet) {
   await fleet.startStore();
-  const hosts = await Promise.all(ATLAS.map((place) => fleet.startHost(place)));
+  const hosts = await Promise.all(
+    ATLAS_HOSTS.map((place) => fleet.startHost(place)),
+  );
   await operate(fleet, ["config", "apply", document, "--wait"]);
   await waitFor(() => isSettled(fleet, hosts.length), "owners for all keys");
   const atRest = await countCalls(fleet, 3_000);
@@ -90,7 +92,7 @@
     stays,
     fail: async () => {
       fleet.signal(`daemon-${first.host}`, "SIGTERM");
-      await fleet.ended(`daemon-${first.host}`);
+      await fleet.waitForExit(`daemon-${first.host}`);
       fleet.startDaemon(first);
     },
     mend: () => Promise.resolve(),
@@ -152,7 +154,10 @@
   await Promise.all(
     hosts.flatMap((
       { host },
-    ) => [fleet.ended(`daemon-${host}`), fleet.ended(`backend-${host}`)]),
+    ) => [
+      fleet.waitForExit(`daemon-${host}`),
+      fleet.waitForExit(`backend-${host}`),
+    ]),
   );
 }
 
@@ -191,10 +196,10 @@
 /** Processor time and memory of the daemons at rest. */
 async function describeCost(fleet, hosts) {
   const names = hosts.map(({ host }) => `daemon-${host}`);
-  const before = names.map((name) => fleet.processorMs(name));
+  const before = names.map((name) => fleet.cpuTimeMs(name));
   await sleep(5_000);
   const shares = names.map((name, index) =>
-    (fleet.processorMs(name) - before[index]) / 50
+    (fleet.cpuTimeMs(name) - before[index]) / 50
   );
   const memory = names.map((name) => fleet.memoryMegabytes(name));
   const cost = summarize(shares);
--- a/scripts/bench/requests.mjs
+++ b/scripts/bench/requests.mjs
@@ -6,7 +6,7 @@
 import { readFileSync, writeFileSync } from "node:fs";
 import { setTimeout as sleep } from "node:timers/promises";
 import { fileURLToPath } from "node:url";
-import { ATLAS, ProcessFleet, waitFor } from "../fleet.mjs";
+import { ATLAS_HOSTS, ProcessFleet, waitFor } from "../fleet.mjs";
 
 /** Three servers with 6 slots each; a request holds a slot for this long. */
 const SERVICE_MS = 20;
@@ -24,7 +24,9 @@
   try {
     await fleet.startStore();
     const document = writeDocument(directory);
-    const places = ATLAS.filter(({ service }) => service === "quote-desk");
+    const places = ATLAS_HOSTS.filter(({ service }) =>
+      service === "quote-desk"
+    );
     const hosts = await Promise.all(
       places.map((place) =>
         fleet.startHost(place, { "service-ms": SERVICE_MS })
--- a/scripts/fleet.mjs
+++ b/scripts/fleet.mjs
@@ -15,7 +15,7 @@
   fileURLToPath(new URL(`packages/${name}/dist/main.js`, root));
 
 /** The hosts of the brief's first deployment: 3, 3 and 6 backend servers over three zones. */
-export const ATLAS = [
+export const ATLAS_HOSTS = [
   ...[1, 2, 3].map((zone) => ({
     host: `quote-${zone}`,
     service: "quote-desk",
@@ -152,7 +152,7 @@
   }
 
   /** Processor time of one process so far, in milliseconds, from /proc. */
-  processorMs(name) {
+  cpuTimeMs(name) {
     const { pid } = this.processes.get(name);
     const fields = readFileSync(`/proc/${pid}/stat`, "utf8").split(") ")[1]
       .split(" ");
@@ -172,7 +172,7 @@
   }
 
   /** Waits until a process has ended. */
-  async ended(name, timeoutMs = 40_000) {
+  async waitForExit(name, timeoutMs = 40_000) {
     await waitFor(
       () => Promise.resolve(!this.processes.has(name)),
       `the end of ${name}`,
--- a/scripts/fleet_test.mjs
+++ b/scripts/fleet_test.mjs
@@ -10,7 +10,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { fileURLToPath } from "node:url";
 import { Agent, request } from "undici";
-import { ATLAS, ProcessFleet, waitFor } from "./fleet.mjs";
+import { ATLAS_HOSTS, ProcessFleet, waitFor } from "./fleet.mjs";
 
 const run = fileURLToPath(new URL("../.run/tests", import.meta.url));
 const example = fileURLToPath(
@@ -127,7 +127,9 @@
   before(async () => {
     fleet = new ProcessFleet(run);
     await fleet.startStore();
-    hosts = await Promise.all(ATLAS.map((place) => fleet.startHost(place)));
+    hosts = await Promise.all(
+      ATLAS_HOSTS.map((place) => fleet.startHost(place)),
+    );
     const applied = await operate("config", "apply", example, "--wait");
     expect(applied.code, applied.stderr).to.equal(0);
     await waitFor(() => isServing(12), "owners for all keys", 40_000);
@@ -359,7 +361,7 @@
     it("is handed nothing, and the keys move to the others", async () => {
       const host = hostNamed("archive-6");
       fleet.signal("backend-archive-6", "SIGKILL");
-      await fleet.ended("backend-archive-6");
+      await fleet.waitForExit("backend-archive-6");
       fleet.startBackend({ ...host, service: "order-book" });
       await waitFor(
         async () => {
@@ -373,7 +375,7 @@
       const runs = await request(`http://${host.backend}/standin/ledger`);
       expect(await runs.body.json()).to.deep.equal([]);
       fleet.signal("backend-archive-6", "SIGKILL");
-      await fleet.ended("backend-archive-6");
+      await fleet.waitForExit("backend-archive-6");
       fleet.startBackend(host);
       await waitFor(() => isServing(12), "the return of the right one", 40_000);
     });
@@ -389,7 +391,7 @@
       const load = startLoad(stays);
       await sleep(1_000);
       fleet.signal("daemon-order-2", "SIGTERM");
-      await fleet.ended("daemon-order-2");
+      await fleet.waitForExit("daemon-order-2");
       fleet.startDaemon(leaving);
       const report = await load;
       expectNothingBroken(report);
@@ -415,7 +417,7 @@
       }
       socket.destroy();
       expect(answers.map(({ status }) => status)).to.not.include(0);
-      await fleet.ended("daemon-order-3");
+      await fleet.waitForExit("daemon-order-3");
       fleet.startDaemon(leaving);
       await waitFor(() => isServing(12), "the fleet after the restart", 60_000);
     });
--- a/scripts/quickstart.mjs
+++ b/scripts/quickstart.mjs
@@ -4,7 +4,7 @@
  * @module
  */
 import { fileURLToPath } from "node:url";
-import { ATLAS, ProcessFleet, waitFor } from "./fleet.mjs";
+import { ATLAS_HOSTS, ProcessFleet, waitFor } from "./fleet.mjs";
 
 const keep = process.argv.includes("--keep");
 const document = fileURLToPath(
@@ -17,7 +17,9 @@
 async function main() {
   await fleet.startStore();
   console.log(`store stand-in at ${fleet.store}`);
-  const hosts = await Promise.all(ATLAS.map((place) => fleet.startHost(place)));
+  const hosts = await Promise.all(
+    ATLAS_HOSTS.map((place) => fleet.startHost(place)),
+  );
   console.log(
     `${hosts.length} daemons, each beside its own backend server, in 3 availability zones`,
   );
