--- a/scripts/bench.mjs
+++ b/scripts/bench.mjs
@@ -1,9 +1,9 @@
 /**
- * Measurements behind the capacity page and the design notes: `npm run bench -- NAME`.
+ * Runs one of the benchmarks behind the capacity page and the design notes: `npm run bench -- NAME [ARGUMENT...]`.
  *
  * @module
  */
-const BENCHES = {
+const BENCHMARKS = {
   ownership: () => import("./bench/ownership.mjs"),
   capacity: () => import("./bench/capacity.mjs"),
   hop: () => import("./bench/hop.mjs"),
@@ -12,9 +12,11 @@
 };
 
 const name = process.argv[2];
-if (BENCHES[name] === undefined) {
-  console.error(`expected one of: ${Object.keys(BENCHES).join(", ")}`);
+if (BENCHMARKS[name] === undefined) {
+  console.error(
+    `unknown benchmark; expected one of: ${Object.keys(BENCHMARKS).join(", ")}`,
+  );
   process.exit(2);
 }
-const { run } = await BENCHES[name]();
+const { run } = await BENCHMARKS[name]();
 process.exitCode = await run(process.argv.slice(3));
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,7 +1,6 @@
 /**
- * Bundles the deployed programs into one file each under `target/`, with the code that V8 compiled from
- * it: a start reads two files instead of hundreds and compiles little. Starts after a crash are where
- * requests wait for it.
+ * Bundles each deployed program into one file under `target/`, beside a V8 code cache: a start then reads two
+ * files instead of hundreds and compiles little. Requests wait for a process that restarts after a crash.
  *
  * @module
  */
@@ -11,16 +10,16 @@
 import { build } from "esbuild";
 
 /**
- * Functions are optimized after four times as much use as usual: in a daemon's first minutes optimizing costs more than it
- * saves. The program sets this itself once it has loaded the runtime's own modules, since the compiled code that the
- * runtime brings for them fits only the flags that it was built with.
+ * The interrupt budget, after which V8 optimizes a function, is four times the default: in the first minutes of a daemon,
+ * optimization costs more CPU time than it saves. The program sets the flag itself once Node.js has loaded its built-in
+ * modules, since their embedded code cache is valid only with the flags that it was built with.
  */
-const FLAGS = ["--interrupt-budget=270000"];
+const V8_FLAGS = ["--interrupt-budget=270000"];
 const BUNDLE = "target/bamboolink-router.bundle.cjs";
 const PROGRAM = "target/bamboolink-router.cjs";
 
-/** The runtime's modules that the bundle uses. */
-const RUNTIME_MODULES = [
+/** Built-in modules of Node.js that the bundle imports. */
+const BUILTIN_MODULES = [
   "node:async_hooks",
   "node:buffer",
   "node:crypto",
@@ -35,14 +34,14 @@
   "node:util",
 ];
 
-/** Runs the bundle from compiled code where that fits, and from its text where not. */
+/** The program that runs the bundle: from the code cache if V8 accepts it, otherwise compiled from source. */
 const LOADER = `"use strict";
 const { readFileSync } = require("node:fs");
 const { join } = require("node:path");
 const { setFlagsFromString } = require("node:v8");
 const { Script } = require("node:vm");
-${RUNTIME_MODULES.map((name) => `require("${name}");`).join("\n")}
-${FLAGS.map((flag) => `setFlagsFromString("${flag}");`).join("\n")}
+${BUILTIN_MODULES.map((name) => `require("${name}");`).join("\n")}
+${V8_FLAGS.map((flag) => `setFlagsFromString("${flag}");`).join("\n")}
 const filename = join(__dirname, "bamboolink-router.bundle.cjs");
 const cache = join(__dirname, "bamboolink-router.cache");
 const text = readFileSync(filename, "utf8");
@@ -52,10 +51,10 @@
 try {
   cachedData = makesCache ? undefined : readFileSync(cache);
 } catch {
-  // Without compiled code the text is compiled.
+  // Without a code cache the source is compiled.
 }
 if (makesCache) {
-  // Functions that are first called in a start are compiled in the build, too.
+  // Compile all functions, so that the cache also holds those that are first called during start-up.
   setFlagsFromString("--no-lazy");
 }
 const script = new Script(source, { filename, ...(cachedData ? { cachedData } : {}) });
@@ -69,13 +68,13 @@
 `;
 
 /**
- * Parts of libraries that the bundled programs never use, with what stands for them. Loading them is a third of a
- * start, and a start is what requests wait for after a crash.
+ * Library modules that the bundled programs never use, with the source that replaces them. Loading them takes a third
+ * of the start-up time, for which requests wait after a crash.
  */
-const UNUSED_PARTS = [
-  // HTTP/2, and with it TLS: backend servers speak HTTP/1.1.
+const UNUSED_MODULES = [
+  // HTTP/2, which also loads TLS: backend servers use HTTP/1.1.
   [/undici\/lib\/dispatcher\/client-h2\.js$/, "module.exports = undefined;"],
-  // Metrics are scraped, and each process has its own.
+  // Metrics are scraped from each process, so neither the push gateway nor cluster aggregation is needed.
   [
     /prom-client\/lib\/(pushgateway|cluster)\.js$/,
     "module.exports = class {};",
@@ -84,29 +83,29 @@
     /prom-client\/lib\/defaultMetrics\.js$/,
     "module.exports = () => {}; module.exports.metricsList = [];",
   ],
-  // Histograms are read where they are filled: none is compressed, and none is kept in WebAssembly.
+  // Histograms are read in the process that records them: none is compressed, none uses WebAssembly.
   [/node_modules\/pako\/.*\.js$/, "module.exports = {};"],
   [/@assemblyscript\/loader\/.*\.js$/, "module.exports = {};"],
-  // Histograms are not written to logs, whose number formats take 25 ms to make.
+  // Histograms are not written to logs; creating the number formats of the log writer takes 25 ms.
   [
     /hdr-histogram-js\/dist\/HistogramLogWriter\.js$/,
     "exports.default = class {};",
   ],
-  // Error messages are in English, which is not among these.
+  // Error messages are in English, whose locale is loaded without this index.
   [/zod\/v4\/locales\/index\.(js|cjs)$/, "export {};"],
 ];
 
-const leaveOutUnusedParts = {
-  name: "leave-out-unused-parts",
+const replaceUnusedModules = {
+  name: "replace-unused-modules",
   setup(builder) {
-    UNUSED_PARTS.forEach(([filter, contents]) =>
+    UNUSED_MODULES.forEach(([filter, contents]) =>
       builder.onLoad({ filter }, () => ({ contents, loader: "js" }))
     );
   },
 };
 
 await build({
-  plugins: [leaveOutUnusedParts],
+  plugins: [replaceUnusedModules],
   entryPoints: ["platform/dist/main.js"],
   outfile: BUNDLE,
   bundle: true,
@@ -118,7 +117,7 @@
   alias: {
     undici: fileURLToPath(new URL("undici_client.cjs", import.meta.url)),
   },
-  // Holds a native library, which is loaded from where it is installed.
+  // Contains a native library, which must be loaded from its installed location.
   external: ["koffi"],
   define: { "import.meta.url": "bundleUrl" },
   banner: {
--- a/scripts/check_docs.mjs
+++ b/scripts/check_docs.mjs
@@ -1,6 +1,6 @@
 /**
- * Checks that generated pages match the code and that the layers keep their rules; `--write` writes the
- * pages anew.
+ * Checks that the generated pages match the code, that packages respect the import rules of their layer, and
+ * that log events are numbered uniquely and used; `--write` regenerates the pages.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import { describeSettings } from "../packages/settings/dist/mod.js";
 import { DaemonSettings } from "../packages/daemon/dist/mod.js";
 
-/** Packages that decide; they may import each other and nothing that talks. */
+/** Packages with decision logic: they may import each other, but perform no I/O, read no clock and import no package that does. */
 const DECISION_PACKAGES = [
   "types",
   "errors",
@@ -24,18 +24,22 @@
   "quarantine",
   "traffic",
 ];
-/** Words that only `platform/` may know. */
+/** Names of the platform's protocols that only `platform/` may contain. */
 const PLATFORM_NAMES =
   /x-attempt-id|x-deadline-ms|x-shard-key|x-expected-instance|x-caller-service|x-server-signature|x-not-executed|kv-(key|range|watch|txn|lease|keep)|\/-\/|heartbeat_addr|cold_remaining_ms|op\/config/i;
-/** What only the edges may use. Reading state charts from files is the one use of `node:fs`. */
-const EDGE_IMPORTS =
+/**
+ * Modules that decision packages may not import, since they perform I/O. `node:fs` is allowed, for reading state charts
+ * from files only.
+ */
+const IO_IMPORTS =
   /from "(undici|node:(http|http2|net|timers|dgram|child_process)[^"]*|@connectrpc\/[^"]*|@bamboolink\/(daemon|store|protocol|logger|metrics|operator|load)[^"]*)"/;
+/** Uses of clocks, timers and random numbers, which decision packages take as inputs. */
 const CLOCK_READS =
   /\b(Date\.now|performance\.now|process\.hrtime|Math\.random|setTimeout|setInterval)\b/;
 
 const problems = [];
 
-function writeEvents() {
+function renderEventsPage() {
   const rows = Object.entries(EVENTS).map(([name, event]) =>
     `| BL${event.number} | \`${name}\` | ${event.severity} | ${event.meaning} | ${event.action} |`
   );
@@ -43,9 +47,9 @@
     "# Log events",
     "",
     "Generated from `packages/logger/src/events.ts` by `node scripts/check_docs.mjs --write`; CI checks",
-    "that it is up to date. Numbers never change and are never used again. With `--log-format json` each",
+    "that it is up to date. Event numbers never change and are never reused. With `--log-format json` each",
     "line is one JSON object with `time`, `severity`, `event` (the number), `name`, `process` and the",
-    "fields of the event. Errors carry the `step` and the `peer` at which they arose.",
+    "fields of the event. Errors carry the `step` that failed and the `peer` involved.",
     "",
     "| number | name | severity | meaning | what to do |",
     "| --- | --- | --- | --- | --- |",
@@ -54,7 +58,7 @@
   ].join("\n");
 }
 
-function writeSettings() {
+function renderSettingsPage() {
   const rows = describeSettings(DaemonSettings).map((setting) =>
     `| \`${setting.flag}\` | \`${setting.variable}\` | ${setting.fallback} | ${setting.meaning} |`
   );
@@ -62,8 +66,8 @@
     "# Settings of the daemon",
     "",
     "Generated from `packages/daemon/src/daemon_settings.ts` by `node scripts/check_docs.mjs --write`. A",
-    "flag goes before its environment variable. A wrong setting ends the process with exit code 2 and a",
-    "line that names it.",
+    "flag takes precedence over its environment variable. An invalid setting ends the process with exit",
+    "code 2 and an error message that names the setting.",
     "",
     "| flag | variable | default | meaning |",
     "| --- | --- | --- | --- |",
@@ -84,11 +88,11 @@
   }
 }
 
-function folderOf(name) {
+function sourceFolderOf(name) {
   return `packages/${name}/src`;
 }
 
-function sourcesIn(folder) {
+function readSources(folder) {
   return readdirSync(folder, { recursive: true })
     .filter((file) => file.endsWith(".ts") && !file.endsWith("_test.ts"))
     .map((file) => ({
@@ -98,15 +102,17 @@
 }
 
 function checkLayers() {
-  DECISION_PACKAGES.map(folderOf).flatMap(sourcesIn).forEach(
+  DECISION_PACKAGES.map(sourceFolderOf).flatMap(readSources).forEach(
     ({ file, text }) => {
-      const edge = EDGE_IMPORTS.exec(text);
-      const clock = CLOCK_READS.exec(text);
-      if (edge !== null) {
-        problems.push(`${file}: decision code may not import ${edge[1]}`);
+      const forbiddenImport = IO_IMPORTS.exec(text);
+      const clockRead = CLOCK_READS.exec(text);
+      if (forbiddenImport !== null) {
+        problems.push(
+          `${file}: decision packages may not import ${forbiddenImport[1]}`,
+        );
       }
-      if (clock !== null) {
-        problems.push(`${file}: decision code may not read ${clock[1]}`);
+      if (clockRead !== null) {
+        problems.push(`${file}: decision packages may not use ${clockRead[1]}`);
       }
     },
   );
@@ -114,35 +120,38 @@
 
 function checkEventNumbers() {
   const numbers = Object.values(EVENTS).map((event) => event.number);
-  const twice = numbers.filter((number, index) =>
+  const duplicates = numbers.filter((number, index) =>
     numbers.indexOf(number) < index
   );
-  twice.forEach((number) =>
-    problems.push(`event number ${number} stands twice`)
+  duplicates.forEach((number) =>
+    problems.push(`event number ${number} is used more than once`)
   );
 }
 
 function checkPlatformNames() {
-  readdirSync("packages").map(folderOf).flatMap(sourcesIn).forEach(
+  readdirSync("packages").map(sourceFolderOf).flatMap(readSources).forEach(
     ({ file, text }) => {
       const name = PLATFORM_NAMES.exec(text);
       if (name !== null) {
-        problems.push(`${file}: only platform/ may know ${name[0]}`);
+        problems.push(`${file}: only platform/ may contain ${name[0]}`);
       }
     },
   );
 }
 
-/** An event that is never written would promise operators an alarm that can't come. */
-function checkEventsAreWritten() {
-  const written = [...readdirSync("packages").map(folderOf), "platform/src"]
-    .flatMap(sourcesIn)
+/** Operators may set an alarm on each documented event; an event that is never logged could not trigger it. */
+function checkEventsAreLogged() {
+  const sources = [
+    ...readdirSync("packages").map(sourceFolderOf),
+    "platform/src",
+  ]
+    .flatMap(readSources)
     .filter(({ file }) => file !== "packages/logger/src/events.ts")
     .map(({ text }) => text)
     .join("\n");
   Object.keys(EVENTS)
-    .filter((name) => !written.includes(`"${name}"`))
-    .forEach((name) => problems.push(`event ${name} is never written`));
+    .filter((name) => !sources.includes(`"${name}"`))
+    .forEach((name) => problems.push(`event ${name} is never logged`));
 }
 
 function checkReadmes() {
@@ -155,12 +164,12 @@
   });
 }
 
-checkPage("docs/EVENTS.md", writeEvents());
-checkPage("docs/SETTINGS.md", writeSettings());
+checkPage("docs/EVENTS.md", renderEventsPage());
+checkPage("docs/SETTINGS.md", renderSettingsPage());
 checkLayers();
 checkPlatformNames();
 checkEventNumbers();
-checkEventsAreWritten();
+checkEventsAreLogged();
 checkReadmes();
 problems.forEach((problem) => console.error(problem));
 process.exitCode = problems.length === 0 ? 0 : 1;
--- a/scripts/fleet.mjs
+++ b/scripts/fleet.mjs
@@ -1,6 +1,6 @@
 /**
- * Brings up a fleet of the real binaries on loopback: the store stand-in, daemons and backend server
- * stand-ins. A process of the product starts no other; scripts and tests do, through this module.
+ * Starts a fleet of real processes on loopback: the store stand-in, daemons and backend server stand-ins.
+ * No process of the product starts another one; scripts and tests start them through this module.
  *
  * @module
  */
@@ -10,11 +10,14 @@
 import { fileURLToPath } from "node:url";
 import { setTimeout as sleep } from "node:timers/promises";
 
-const root = new URL("..", import.meta.url);
-const binary = (name) =>
-  fileURLToPath(new URL(`packages/${name}/dist/main.js`, root));
+const ROOT = new URL("..", import.meta.url);
+const findProgram = (name) =>
+  fileURLToPath(new URL(`packages/${name}/dist/main.js`, ROOT));
 
-/** The hosts of the brief's first deployment: 3, 3 and 6 backend servers over three zones. */
+/**
+ * Hosts of the deployment in `examples/atlas.json`: 3, 3 and 6 backend servers, one on each host, in three
+ * availability zones.
+ */
 export const ATLAS_HOSTS = [
   ...[1, 2, 3].map((zone) => ({
     host: `quote-${zone}`,
@@ -33,7 +36,7 @@
   })),
 ];
 
-/** Finds ports on loopback that are free now. */
+/** Returns `count` distinct loopback ports that were free when they were checked. */
 export async function findPorts(count) {
   const servers = await Promise.all(
     Array.from({ length: count }, () =>
@@ -49,18 +52,19 @@
   return ports;
 }
 
-/** A fleet of processes. */
+/** A store stand-in, daemons and backend server stand-ins, each as a process with its own log file. */
 export class ProcessFleet {
-  /** Flags for Node itself by process name, for example to profile one. */
+  /** Node.js flags by process name, for example to profile one process. */
   nodeFlags = {};
   /** Running processes by name. */
   processes = new Map();
 
+  /** @param logDirectory Directory for the log files; an existing one is deleted first. */
   constructor(logDirectory) {
     this.logDirectory = logDirectory;
     rmSync(logDirectory, { recursive: true, force: true });
     mkdirSync(logDirectory, { recursive: true });
-    // Whatever ends the script, no process that it started stays behind.
+    // Child processes must not outlive the script.
     process.once(
       "exit",
       () => this.processes.forEach((child) => child.kill("SIGKILL")),
@@ -68,25 +72,31 @@
     process.once("SIGTERM", () => process.exit(143));
   }
 
-  /** Starts the store stand-in. */
+  /** Starts the store stand-in and waits until it responds. */
   async startStore() {
     [this.storePort] = await findPorts(1);
     this.store = `http://127.0.0.1:${this.storePort}`;
-    this.start("store", binary("store_standin"), {
+    this.start("store", findProgram("store_standin"), {
       "store-port": this.storePort,
     });
     await waitFor(
-      () => isUp(`${this.store}/standin/counts`),
-      "the store stand-in",
+      () => isResponding(`${this.store}/standin/counts`),
+      "the store stand-in to respond",
     );
   }
 
-  /** Starts a daemon and the backend server stand-in on one host; it has its own loopback address. */
-  async startHost(place, options = {}) {
-    const [dataPort, controlPort, adminPort, backendPort] = place.ports ??
+  /**
+   * Starts the daemon and the backend server stand-in of a host, and waits until the daemon responds.
+   *
+   * @param spec Name, service and availability zone of the host; optionally its ports, store and daemon settings.
+   * @param options Flags of the stand-in; `withoutBackend` starts none.
+   * @returns The host with its addresses.
+   */
+  async startHost(spec, options = {}) {
+    const [dataPort, controlPort, adminPort, backendPort] = spec.ports ??
       await findPorts(4);
     const host = {
-      ...place,
+      ...spec,
       ports: [dataPort, controlPort, adminPort, backendPort],
     };
     host.data = `127.0.0.1:${dataPort}`;
@@ -97,16 +107,16 @@
       this.startBackend(host, options);
     }
     await waitFor(
-      () => isUp(`http://${host.admin}/healthz`),
-      `the daemon of ${host.host}`,
+      () => isResponding(`http://${host.admin}/healthz`),
+      `the daemon of ${host.host} to respond`,
     );
     return host;
   }
 
-  /** Starts the daemon of a host, also again after it ended. */
+  /** Starts the daemon of a host, or restarts it after it exited. */
   startDaemon(host) {
     const [dataPort, controlPort, adminPort] = host.ports;
-    this.start(`daemon-${host.host}`, binary("daemon"), {
+    this.start(`daemon-${host.host}`, findProgram("daemon"), {
       host: host.host,
       region: "casablanca",
       "availability-zone": host.zone,
@@ -121,7 +131,7 @@
 
   /** Starts the backend server stand-in of a host. */
   startBackend(host, options = {}) {
-    this.start(`backend-${host.host}`, binary("backend_standin"), {
+    this.start(`backend-${host.host}`, findProgram("backend_standin"), {
       host: host.host,
       service: host.service,
       daemon: host.admin,
@@ -133,14 +143,14 @@
     });
   }
 
-  /** Starts one process; its log goes to a file. */
-  start(name, file, flags) {
+  /** Starts a process whose output is appended to a log file. */
+  start(name, program, flags) {
     const log = openSync(`${this.logDirectory}/${name}.log`, "a");
-    const list = Object.entries(flags).flatMap((
+    const args = Object.entries(flags).flatMap((
       [flag, value],
     ) => [`--${flag}`, String(value)]);
     const nodeFlags = this.nodeFlags[name] ?? [];
-    const child = spawn(process.execPath, [...nodeFlags, file, ...list], {
+    const child = spawn(process.execPath, [...nodeFlags, program, ...args], {
       stdio: ["ignore", log, log],
     });
     this.processes.set(name, child);
@@ -151,7 +161,7 @@
     return child;
   }
 
-  /** Processor time of one process so far, in milliseconds, from /proc. */
+  /** CPU time that a process has used so far, in milliseconds; /proc counts it in ticks of 10 ms. */
   cpuTimeMs(name) {
     const { pid } = this.processes.get(name);
     const fields = readFileSync(`/proc/${pid}/stat`, "utf8").split(") ")[1]
@@ -159,28 +169,28 @@
     return (Number(fields[11]) + Number(fields[12])) * 10;
   }
 
-  /** Resident memory of one process, in megabytes. */
+  /** Resident memory of a process, in megabytes. */
   memoryMegabytes(name) {
     const { pid } = this.processes.get(name);
     const status = readFileSync(`/proc/${pid}/status`, "utf8");
     return Number(/VmRSS:\s+(\d+)/.exec(status)[1]) / 1024;
   }
 
-  /** Sends a signal to one process, by its name. */
+  /** Sends a signal to the process of that name, if it is running. */
   signal(name, signal) {
     this.processes.get(name)?.kill(signal);
   }
 
-  /** Waits until a process has ended. */
+  /** Waits until a process has exited; throws after `timeoutMs`. */
   async waitForExit(name, timeoutMs = 40_000) {
     await waitFor(
       () => Promise.resolve(!this.processes.has(name)),
-      `the end of ${name}`,
+      `${name} to exit`,
       timeoutMs,
     );
   }
 
-  /** Ends all processes that this fleet started. */
+  /** Kills all processes that this fleet started and waits until they have exited. */
   async stop() {
     const children = [...this.processes.values()];
     children.forEach((child) => {
@@ -196,9 +206,9 @@
     );
   }
 
-  /** Runs one of the tools to its end and returns what it printed. */
+  /** Runs a command line tool until it exits; returns its exit code and output. */
   async runTool(name, args) {
-    const child = spawn(process.execPath, [binary(name), ...args], {
+    const child = spawn(process.execPath, [findProgram(name), ...args], {
       stdio: ["ignore", "pipe", "pipe"],
     });
     const output = { stdout: "", stderr: "" };
@@ -209,18 +219,24 @@
   }
 }
 
-/** Waits until a check holds. */
-export async function waitFor(check, what, timeoutMs = 15_000) {
-  const until = Date.now() + timeoutMs;
-  while (!await check()) {
-    if (Date.now() > until) {
-      throw new Error(`waited ${timeoutMs} ms in vain for ${what}`);
+/**
+ * Polls until a condition holds; throws after `timeoutMs`.
+ *
+ * @param description What is waited for, for the error message.
+ */
+export async function waitFor(condition, description, timeoutMs = 15_000) {
+  const deadlineMs = Date.now() + timeoutMs;
+  while (!await condition()) {
+    if (Date.now() > deadlineMs) {
+      throw new Error(
+        `timed out after ${timeoutMs} ms waiting for ${description}`,
+      );
     }
     await sleep(30);
   }
 }
 
-async function isUp(url) {
+async function isResponding(url) {
   try {
     return (await fetch(url)).ok;
   } catch {
--- a/scripts/quickstart.mjs
+++ b/scripts/quickstart.mjs
@@ -1,13 +1,13 @@
 /**
- * Brings a fleet up on loopback, runs the main job on it and says what came of it.
+ * Starts the example fleet on loopback, sends load to it and prints the results; with `--keep` it stays up.
  *
  * @module
  */
 import { fileURLToPath } from "node:url";
 import { ATLAS_HOSTS, ProcessFleet, waitFor } from "./fleet.mjs";
 
-const keep = process.argv.includes("--keep");
-const document = fileURLToPath(
+const keepsRunning = process.argv.includes("--keep");
+const configurationPath = fileURLToPath(
   new URL("../examples/atlas.json", import.meta.url),
 );
 const fleet = new ProcessFleet(
@@ -18,26 +18,26 @@
   await fleet.startStore();
   console.log(`store stand-in at ${fleet.store}`);
   const hosts = await Promise.all(
-    ATLAS_HOSTS.map((place) => fleet.startHost(place)),
+    ATLAS_HOSTS.map((spec) => fleet.startHost(spec)),
   );
   console.log(
-    `${hosts.length} daemons, each beside its own backend server, in 3 availability zones`,
+    `${hosts.length} daemons in 3 availability zones, each with a backend server on its host`,
   );
-  const applied = await operate([
+  const applied = await runOperator([
     "config",
     "apply",
-    document,
+    configurationPath,
     "--wait",
     "--note",
     "quickstart",
   ]);
   console.log(applied.stdout.split("\n").slice(0, 2).join("; "));
-  await waitFor(() => everyPartitionOwned(), "owners for all keys");
-  const burning = fleet.runTool("burn", [
+  await waitFor(() => isEveryPartitionOwned(), "owners of all keys");
+  const burnRateReport = fleet.runTool("burn", [
     "--sources",
     hosts.map(({ host, admin }) => `${host}=${admin}`).join(","),
     "--configuration",
-    document,
+    configurationPath,
     "--seconds",
     "7",
     "--short-seconds",
@@ -51,31 +51,31 @@
     "--ledgers",
     hosts.map((host) => host.backend).join(","),
     "--configuration",
-    document,
+    configurationPath,
     "--rate",
     "400",
     "--seconds",
     "5",
   ]);
   console.log(`\n${load.stdout}${load.stderr}`);
-  console.log((await burning).stdout);
-  console.log((await operate(["status"])).stdout);
+  console.log((await burnRateReport).stdout);
+  console.log((await runOperator(["status"])).stdout);
   console.log(
-    (await operate(["owner", "key-7", "--service", "order-book"])).stdout,
+    (await runOperator(["owner", "key-7", "--service", "order-book"])).stdout,
   );
-  if (keep) {
-    return await stayUp(hosts);
+  if (keepsRunning) {
+    return await keepRunning(hosts);
   }
   await fleet.stop();
   process.exitCode = load.code;
 }
 
-function operate(args) {
+function runOperator(args) {
   return fleet.runTool("operator", [...args, "--store", fleet.store]);
 }
 
-async function everyPartitionOwned() {
-  const status = await operate(["status", "--json"]);
+async function isEveryPartitionOwned() {
+  const status = await runOperator(["status", "--json"]);
   if (status.code !== 0) {
     return false;
   }
@@ -86,9 +86,9 @@
   return owned === 256 + 256 + 1024;
 }
 
-async function stayUp(hosts) {
+async function keepRunning(hosts) {
   const [first] = hosts;
-  console.log("The fleet stays up until you press Ctrl-C. Try:");
+  console.log("The fleet keeps running until you press Ctrl-C. Try:");
   console.log(`  curl -i http://${first.data}/quotes/BC547`);
   console.log(
     `  curl -i -X POST -d '{"lots":1}' http://${first.data}/orders/BC547`,
--- a/scripts/run_tests.mjs
+++ b/scripts/run_tests.mjs
@@ -1,14 +1,15 @@
 /**
- * Runs all tests. A failing test passes only if `KNOWN-RED.txt` names it; those are printed.
+ * Runs all tests. Exits with 0 only if each failing test is listed in `KNOWN-RED.txt`, whose entries are
+ * printed, if the list is within its limit, and if at least one test passed.
  *
  * @module
  */
 import { existsSync, readdirSync, readFileSync } from "node:fs";
 import Mocha from "mocha";
 
-const KNOWN_RED_LIMIT = 3;
+const MAX_KNOWN_FAILURES = 3;
 
-function readKnownRed() {
+function readKnownFailures() {
   if (!existsSync("KNOWN-RED.txt")) {
     return [];
   }
@@ -34,23 +35,28 @@
 files.forEach((file) => mocha.addFile(file));
 await mocha.loadFilesAsync();
 
-const known = readKnownRed();
+const knownFailures = readKnownFailures();
 const failures = [];
 let passed = 0;
 mocha
   .run(() => {
-    const expected = failures.filter((title) =>
-      known.some((line) => line.includes(title))
+    const expectedFailures = failures.filter((title) =>
+      knownFailures.some((line) => line.includes(title))
     );
-    const unexpected = failures.filter((title) => !expected.includes(title));
-    known.forEach((line) => console.log(`known red: ${line}`));
-    const tooMany = known.length > KNOWN_RED_LIMIT;
-    if (tooMany) {
-      console.log(`KNOWN-RED.txt holds more than ${KNOWN_RED_LIMIT} lines`);
+    const unexpectedFailures = failures.filter((title) =>
+      !expectedFailures.includes(title)
+    );
+    knownFailures.forEach((line) => console.log(`known red: ${line}`));
+    const hasTooManyKnown = knownFailures.length > MAX_KNOWN_FAILURES;
+    if (hasTooManyKnown) {
+      console.log(
+        `KNOWN-RED.txt has more than ${MAX_KNOWN_FAILURES} entries`,
+      );
     }
     console.log(`${passed} passed, ${failures.length} failed`);
-    const green = unexpected.length === 0 && passed > 0 && !tooMany;
-    process.exit(green ? 0 : 1);
+    const hasSucceeded = unexpectedFailures.length === 0 && passed > 0 &&
+      !hasTooManyKnown;
+    process.exit(hasSucceeded ? 0 : 1);
   })
   .on("pass", () => passed += 1)
   .on("fail", (test) => failures.push(test.fullTitle()));
--- a/scripts/undici_client.cjs
+++ b/scripts/undici_client.cjs
@@ -1,7 +1,7 @@
 "use strict";
 /**
- * The part of undici that the bundled programs use: its clients. The whole library also loads fetch, web
- * sockets, caches and cookies, a good part of the time of a start.
+ * The part of undici that the bundled programs use: its clients. The entry point of the library also loads
+ * fetch, web sockets, caches and cookies, which takes up a good part of the start-up time.
  */
 const Agent = require("../node_modules/undici/lib/dispatcher/agent.js");
 const Client = require("../node_modules/undici/lib/dispatcher/client.js");
--- a/scripts/verify.sh
+++ b/scripts/verify.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs, builds, checks and tests; the same here and in CI.
+# Installs the dependencies, builds, checks and tests; CI runs the same script.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 npm ci --no-progress --loglevel=error
