--- a/scripts/fleet_test.mjs
+++ b/scripts/fleet_test.mjs
@@ -125,7 +125,7 @@
   }
 
   before(async () => {
-    fleet = new ProcessFleet(run);
+    fleet = new ProcessFleet(logDirectory);
     await fleet.startStore();
     hosts = await Promise.all(
       ATLAS_HOSTS.map((spec) => fleet.startHost(spec)),
