--- a/scripts/fleet_test.mjs
+++ b/scripts/fleet_test.mjs
@@ -316,7 +316,7 @@
 
     it("are reported as successful when the store's response is lost", async () => {
       await setFaults(`127.0.0.1:${fleet.storePort}`, { lose_answers: 1 });
-      const file = writeVariant("lost-answer", 14);
+      const file = writeVariant("lost-response", 14);
       const applied = await runOperator(
         "config",
         "apply",
@@ -467,7 +467,8 @@
 
   describe("hosts that fail together", () => {
     // Guards against keys that stay without an owner and orders that run twice, when four hosts of one availability zone
-    // are killed at once, possibly with the planner: takeovers must not wait for failed hosts, but must wait for alive ones.
+    // are killed at once, possibly with the planner: takeovers must not wait for failed hosts, but must wait for those
+    // that are alive.
     it("have their keys served by other hosts, and no request is run twice or lost", async () => {
       const killedHosts = hosts.filter(({ zone }) => zone === "casablanca-3");
       const remainingHosts = hosts.filter((host) =>
