--- a/packages/membership/src/watch_poll_schedule.ts
+++ b/packages/membership/src/watch_poll_schedule.ts
@@ -29,16 +29,16 @@
    * random: synchronized renewals would leave the whole fleet without updates between two of them.
    *
    * @param daemons number of daemons that watch.
-   * @param hasTimedOut whether the last poll reached its timeout without a change.
+   * @param endedUnchanged whether the last poll reached its timeout without a change.
    */
   nextTimeoutMs(
-    { daemons, hasTimedOut }: { daemons: number; hasTimedOut: boolean },
+    { daemons, endedUnchanged }: { daemons: number; endedUnchanged: boolean },
   ): number {
     const fullTimeoutMs = Math.min(
       MAX_TIMEOUT_MS,
       daemons * MEAN_RENEWAL_INTERVAL_MS,
     );
-    const isStaggered = hasTimedOut && fullTimeoutMs === this.fullTimeoutMs;
+    const isStaggered = endedUnchanged && fullTimeoutMs === this.fullTimeoutMs;
     this.fullTimeoutMs = fullTimeoutMs;
     return Math.ceil(
       isStaggered ? fullTimeoutMs : fullTimeoutMs * (1 - this.random()),
--- a/packages/membership/src/watch_poll_schedule_test.ts
+++ b/packages/membership/src/watch_poll_schedule_test.ts
@@ -42,13 +42,13 @@
     const schedule = WatchPollSchedule.create(random);
     const renewalsMs: number[] = [];
     let nowMs = 0;
-    let hasTimedOut = false;
+    let endedUnchanged = false;
     while (nowMs < SIMULATED_MS) {
       const knownDaemons = nowMs < DISCOVERY_MS ? 1 : daemons;
       const endsAtMs: number = nowMs +
-        schedule.nextTimeoutMs({ daemons: knownDaemons, hasTimedOut });
-      hasTimedOut = nowMs >= CHANGE_AT_MS || endsAtMs < CHANGE_AT_MS;
-      nowMs = hasTimedOut ? endsAtMs : CHANGE_AT_MS;
+        schedule.nextTimeoutMs({ daemons: knownDaemons, endedUnchanged });
+      endedUnchanged = nowMs >= CHANGE_AT_MS || endsAtMs < CHANGE_AT_MS;
+      nowMs = endedUnchanged ? endsAtMs : CHANGE_AT_MS;
       renewalsMs.push(nowMs);
     }
     return renewalsMs;
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -673,9 +673,9 @@
       logger,
       random,
       prefix: document.prefix,
-      choosePollTimeoutMs: (hasTimedOut) => {
+      choosePollTimeoutMs: (endedUnchanged) => {
         const daemons = this.view.alive(monotonicMs()).length + 1;
-        return pollSchedule.nextTimeoutMs({ daemons, hasTimedOut });
+        return pollSchedule.nextTimeoutMs({ daemons, endedUnchanged });
       },
       onListing: ({ records, revision }) => {
         const zones = records.flatMap(({ key }) =>
--- a/packages/router/src/store_watcher.ts
+++ b/packages/router/src/store_watcher.ts
@@ -24,8 +24,8 @@
   readonly logger: Logger;
   readonly prefix: string;
   readonly random: () => number;
-  /** Chooses the poll timeout, in milliseconds; `hasTimedOut` is whether the last poll timed out without a change. */
-  readonly choosePollTimeoutMs: (hasTimedOut: boolean) => number;
+  /** Chooses the poll timeout, in milliseconds; `endedUnchanged` is whether the last poll ended without a change. */
+  readonly choosePollTimeoutMs: (endedUnchanged: boolean) => number;
   /** Called with each listing of all records. */
   readonly onListing: (listing: Listing) => void;
   /** Called with each change after a listing; `value` is `undefined` for deletions. */
--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -56,10 +56,10 @@
   readonly fromRevision: number;
   readonly handler: WatchHandler;
   /**
-   * Chooses the timeout of the next long poll, in milliseconds; `hasTimedOut` is whether the last one reached its
+   * Chooses the timeout of the next long poll, in milliseconds; `endedUnchanged` is whether the last one reached its
    * timeout without a change. Ignored by stores that send keep-alives.
    */
-  readonly choosePollTimeoutMs?: (hasTimedOut: boolean) => number;
+  readonly choosePollTimeoutMs?: (endedUnchanged: boolean) => number;
 }
 
 /** A running watch. */
