--- a/packages/daemon/src/backend_dispatcher.ts
+++ b/packages/daemon/src/backend_dispatcher.ts
@@ -21,7 +21,7 @@
 import { monotonicMs, wallClockMs } from "./clock.ts";
 import { isNeverConnected } from "./connection_errors.ts";
 import { readSingle, selectEndToEnd } from "./http_headers.ts";
-import type { OwnSession } from "./own_session.ts";
+import type { LocalSession } from "./local_session.ts";
 import type { SlotGate } from "./slot_gate.ts";
 
 /** Answers of non-idempotent requests are kept for resends up to this size, in bytes. */
@@ -31,7 +31,7 @@
 
 /** What the dispatcher needs. */
 export interface BackendDispatcherContext {
-  readonly session: () => OwnSession | undefined;
+  readonly session: () => LocalSession | undefined;
   readonly backend: BackendConnection;
   readonly gate: SlotGate;
 }
@@ -70,7 +70,7 @@
   /** Claims the right to run a non-idempotent request that names itself. */
   private claim(
     request: RoutedRequest,
-    owner: { session: OwnSession; assignment: Assignment },
+    owner: { session: LocalSession; assignment: Assignment },
   ): { kind: "claimed"; name: string | undefined } | {
     kind: "refused";
     result: AttemptResult;
@@ -95,7 +95,10 @@
       fingerprint: fingerprintOf(request),
       firstSentMs,
       firstAttempt: request.headers[HEADERS.firstAttempt] === "1",
-    }, { nowMs, tenureSinceMs: owner.session.tenureSince(owner.assignment) });
+    }, {
+      nowMs,
+      tenureSinceMs: owner.session.leaseStartedAtMs(owner.assignment),
+    });
     return claim.kind === "run"
       ? { kind: "claimed", name }
       : { kind: "refused", result: describeClaim(claim) };
@@ -103,7 +106,7 @@
 
   private async admit(
     request: RoutedRequest,
-    owner: { session: OwnSession; assignment: Assignment },
+    owner: { session: LocalSession; assignment: Assignment },
   ): Promise<AttemptResult> {
     const { gate } = this.context;
     // Callers choose the identity of a request and may use one twice; a slot has one of its own.
@@ -134,7 +137,7 @@
   /** From here on bytes may reach the backend server. */
   private async handOver(
     request: RoutedRequest,
-    owner: { session: OwnSession; assignment: Assignment; slot: string },
+    owner: { session: LocalSession; assignment: Assignment; slot: string },
   ): Promise<AttemptResult> {
     const { session, assignment, slot } = owner;
     const { gate, backend } = this.context;
@@ -142,7 +145,7 @@
     // The wait for a slot may have outlived the lease or the assignment, and the process may have
     // been paused, so both are looked at again at the last moment.
     const mayServe = session.mayServe(assignment, startedMs) &&
-      session.allowsWork(request.deadlineMs - startedMs);
+      session.mayRunFor(request.deadlineMs - startedMs);
     if (!mayServe || backend.connections === undefined) {
       gate.leave(slot);
       return notRun("not_owner", "this daemon may not serve the key any more");
@@ -182,7 +185,7 @@
 
   private backendRequest(
     request: RoutedRequest,
-    owner: { session: OwnSession; assignment: Assignment; startedMs: number },
+    owner: { session: LocalSession; assignment: Assignment; startedMs: number },
   ): Dispatcher.RequestOptions {
     const { session, assignment } = owner;
     const expiresMs = Math.min(session.validUntilMs, request.deadlineMs);
@@ -248,7 +251,7 @@
 /** Keeps the answer for resends; whatever is too large or ends early is remembered as unknown. */
 async function keepAnswer(
   result: AttemptResult,
-  claim: { session: OwnSession; name: string },
+  claim: { session: LocalSession; name: string },
 ): Promise<AttemptResult> {
   const { idempotency } = claim.session;
   if (result.kind === "not_run" || result.kind === "invalid") {
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -32,9 +32,9 @@
 import { createPeerRoutes } from "./peer_service.ts";
 import { Planner } from "./planner.ts";
 import { Randomness } from "./randomness.ts";
-import { RecordSpreader } from "./record_spreader.ts";
+import { RecordGossiper } from "./record_gossiper.ts";
 import { Reporter } from "./reporter.ts";
-import { SessionKeeper } from "./session_keeper.ts";
+import { SessionManager } from "./session_manager.ts";
 import { SlotGate } from "./slot_gate.ts";
 import { StoreFollower } from "./store_follower.ts";
 
@@ -66,9 +66,9 @@
   private readonly clients = PeerClients.create();
   private readonly backend = BackendConnection.create();
   private readonly gate = SlotGate.create(NO_SLOTS);
-  private readonly keeper: SessionKeeper;
+  private readonly keeper: SessionManager;
   private readonly follower: StoreFollower;
-  private readonly spreader: RecordSpreader;
+  private readonly spreader: RecordGossiper;
   private readonly planner: Planner;
   private readonly reporter: Reporter;
   private readonly forwarder: OwnerForwarder;
@@ -101,14 +101,14 @@
     this.fleet = Fleet.create(this.logger);
     const { store, fleet, clients, logger, randomness } = this;
     const sessionId = () => this.keeper.current?.id ?? "";
-    this.keeper = SessionKeeper.create({
+    this.keeper = SessionManager.create({
       store,
       fleet,
       clients,
       logger,
       randomness,
       timing: DEFAULT_TIMING,
-      place: {
+      location: {
         host: settings.host,
         region: settings.region,
         availabilityZone: settings.availability_zone,
@@ -119,7 +119,7 @@
       isDraining: () => this.stopping || !this.backend.isReady(monotonicMs()),
     });
     this.follower = StoreFollower.create({ store, fleet, logger, randomness });
-    this.spreader = RecordSpreader.create({
+    this.spreader = RecordGossiper.create({
       fleet,
       clients,
       logger,
@@ -142,7 +142,7 @@
       fleet,
       clients,
       logger,
-      condition: () => this.gate.counts,
+      requestCounts: () => this.gate.counts,
     });
     this.forwarder = OwnerForwarder.create({ fleet, sessionId });
     const local = BackendDispatcher.create({
@@ -185,8 +185,8 @@
     this.controlServer = createHttp2Server(connectNodeAdapter({
       routes: createPeerRoutes({
         fleet,
-        keeper: this.keeper,
-        spreader: this.spreader,
+        sessionManager: this.keeper,
+        gossiper: this.spreader,
         planner: this.planner,
       }),
     }));
@@ -289,7 +289,7 @@
     this.fleet.onChange(() => {
       this.spreader.push();
       const shards = this.fleet.state.shards.map((shard) => shard.record);
-      this.keeper.current?.noteAssignments(shards, wallClockMs());
+      this.keeper.current?.recordAssignments(shards, wallClockMs());
       this.clients.retain(
         new Set(this.fleet.sessions.map((session) => session.control_address)),
       );
--- a/packages/daemon/src/daemon_status.ts
+++ b/packages/daemon/src/daemon_status.ts
@@ -7,7 +7,7 @@
 import type { Entrance } from "./entrance.ts";
 import type { Fleet } from "./fleet.ts";
 import type { Planner } from "./planner.ts";
-import type { SessionKeeper } from "./session_keeper.ts";
+import type { SessionManager } from "./session_manager.ts";
 import type { SlotGate } from "./slot_gate.ts";
 import type { StoreFollower } from "./store_follower.ts";
 
@@ -16,7 +16,7 @@
   parts: {
     settings: DaemonSettings;
     fleet: Fleet;
-    keeper: SessionKeeper;
+    keeper: SessionManager;
     planner: Planner;
     follower: StoreFollower;
     gate: SlotGate;
--- a/packages/daemon/src/handover_runner.ts
+++ b/packages/daemon/src/handover_runner.ts
@@ -20,7 +20,7 @@
 import { wallClockMs } from "./clock.ts";
 import type { Fleet } from "./fleet.ts";
 import type { PeerClients } from "./peer_clients.ts";
-import type { ReportBoard } from "./report_board.ts";
+import type { ReportRegistry } from "./report_registry.ts";
 
 /** Plans are made this often, in milliseconds. */
 const PLAN_EVERY_MS = 1_000;
@@ -41,7 +41,7 @@
   readonly fleet: Fleet;
   readonly clients: PeerClients;
   readonly logger: Logger;
-  readonly reports: ReportBoard;
+  readonly reports: ReportRegistry;
 }
 
 /** Runs the handovers of one planner's term. */
--- a/packages/daemon/src/own_session.ts
+++ b/packages/daemon/src/local_session.ts
@@ -18,10 +18,10 @@
 const IDEMPOTENCY_MEMORY_MS = 600_000;
 const IDEMPOTENCY_ENTRIES = 100_000;
 /** The most by which the wall clocks of callers and hosts may differ, in milliseconds. */
-export const CLOCK_SKEW_MS = 1_000;
+export const MAX_CLOCK_SKEW_MS = 1_000;
 
 /** One session of this daemon. */
-export class OwnSession {
+export class LocalSession {
   /** Promises that others gave this session. */
   readonly lease: LeaseHolder;
   /** Promises that this session gave others. */
@@ -32,7 +32,7 @@
   readonly idempotency = IdempotencyLedger.create({
     memoryMs: IDEMPOTENCY_MEMORY_MS,
     entries: IDEMPOTENCY_ENTRIES,
-    clockSkewMs: CLOCK_SKEW_MS,
+    clockSkewMs: MAX_CLOCK_SKEW_MS,
   });
   private readonly tenures = new Map<
     string,
@@ -43,28 +43,28 @@
   private chartState = SESSION_CHART.next(SESSION_CHART.initial, "ANNOUNCED");
 
   private constructor(
-    private settledRecord: SessionRecord,
-    private settledRevision: number,
+    private confirmedRecord: SessionRecord,
+    private confirmedRevision: number,
     timing: LeaseTiming,
   ) {
     this.lease = LeaseHolder.create(timing);
     this.ledger = WitnessLedger.create(timing);
-    this.lease.setWitnesses(settledRecord.witnesses);
+    this.lease.setWitnesses(confirmedRecord.witnesses);
   }
 
   /** Creates a session whose record is not in the store yet. */
-  static create(record: SessionRecord, timing: LeaseTiming): OwnSession {
-    return new OwnSession(record, 0, timing);
+  static create(record: SessionRecord, timing: LeaseTiming): LocalSession {
+    return new LocalSession(record, 0, timing);
   }
 
   /** The record as last written or read. */
   get record(): SessionRecord {
-    return this.settledRecord;
+    return this.confirmedRecord;
   }
 
   /** The store's revision of the record; 0 while it is not written. */
   get revision(): number {
-    return this.settledRevision;
+    return this.confirmedRevision;
   }
 
   /**
@@ -73,13 +73,13 @@
    */
   proposeWitnesses(witnesses: readonly string[]): void {
     this.proposed.push(witnesses);
-    this.lease.setWitnesses(this.settledRecord.witnesses, ...this.proposed);
+    this.lease.setWitnesses(this.confirmedRecord.witnesses, ...this.proposed);
   }
 
   /** Notes the record that is certainly in the store, at a newer revision than before. */
-  settle(record: SessionRecord, revision: number): void {
-    this.settledRecord = record;
-    this.settledRevision = revision;
+  confirmRecord(record: SessionRecord, revision: number): void {
+    this.confirmedRecord = record;
+    this.confirmedRevision = revision;
     this.proposed = [];
     this.lease.setWitnesses(record.witnesses);
   }
@@ -95,7 +95,9 @@
   }
 
   /** Steps the session chart; returns whether the state changed. */
-  step(event: "OPENED" | "QUORUM_HELD" | "QUORUM_LOST" | "SEALED"): boolean {
+  applyEvent(
+    event: "OPENED" | "QUORUM_HELD" | "QUORUM_LOST" | "SEALED",
+  ): boolean {
     const before = this.chartState;
     this.chartState = SESSION_CHART.next(before, event);
     return this.chartState !== before;
@@ -122,13 +124,13 @@
    * Whether work may run for so long. A takeover from a backend server that does not check its grants
    * waits as long as the record says; longer work would run on beside the next owner's.
    */
-  allowsWork(milliseconds: number): boolean {
+  mayRunFor(milliseconds: number): boolean {
     const { checks_fencing: checks, longest_work_ms: longestMs } = this.record;
     return checks || milliseconds <= longestMs;
   }
 
   /** Notes since when, on the wall clock, this session has held each of its assignments. */
-  noteAssignments(shards: readonly TableShard[], wallClockMs: number): void {
+  recordAssignments(shards: readonly TableShard[], wallClockMs: number): void {
     shards.forEach((shard) => {
       const own = shard.sessions.indexOf(this.id);
       if (own < 0) {
@@ -147,7 +149,7 @@
   }
 
   /** Since when, on the wall clock, this session has held an assignment. */
-  tenureSince(assignment: AssignmentId): number {
+  leaseStartedAtMs(assignment: AssignmentId): number {
     const known = this.tenures.get(
       `${assignment.service}/${assignment.partition}`,
     );
--- a/packages/daemon/src/neighbours.ts
+++ b/packages/daemon/src/neighbours.ts
@@ -5,7 +5,7 @@
  */
 import { createHash } from "node:crypto";
 import type { SessionRecord } from "@bamboolink/types";
-import { NEIGHBOURS } from "./record_spreader.ts";
+import { NEIGHBOUR_COUNT } from "./record_gossiper.ts";
 
 /**
  * Chooses the neighbours of a session: a few others by a hash of both names, so that the fleet forms a
@@ -28,7 +28,7 @@
     .filter((session) => session.state === "open" && session.id !== own)
     .map((session) => ({ session, weight: weightOf(own, session.id) }))
     .sort((left, right) => left.weight < right.weight ? -1 : 1)
-    .slice(0, NEIGHBOURS)
+    .slice(0, NEIGHBOUR_COUNT)
     .map(({ session }) => session.control_address);
   return chosen.length === 0 ? seeds : chosen;
 }
--- a/packages/daemon/src/peer_service.ts
+++ b/packages/daemon/src/peer_service.ts
@@ -17,8 +17,8 @@
 import { monotonicMs } from "./clock.ts";
 import type { Fleet } from "./fleet.ts";
 import type { Planner } from "./planner.ts";
-import type { RecordSpreader } from "./record_spreader.ts";
-import type { SessionKeeper } from "./session_keeper.ts";
+import type { RecordGossiper } from "./record_gossiper.ts";
+import type { SessionManager } from "./session_manager.ts";
 
 const ANSWERS = {
   promised: RenewResponse_Answer.PROMISED,
@@ -29,8 +29,8 @@
 /** What the service needs. */
 export interface PeerServiceContext {
   readonly fleet: Fleet;
-  readonly keeper: SessionKeeper;
-  readonly spreader: RecordSpreader;
+  readonly sessionManager: SessionManager;
+  readonly gossiper: RecordGossiper;
   readonly planner: Planner;
 }
 
@@ -38,9 +38,9 @@
 export function createPeerRoutes(
   context: PeerServiceContext,
 ): (router: ConnectRouter) => void {
-  const { fleet, keeper, spreader, planner } = context;
+  const { fleet, sessionManager, gossiper, planner } = context;
   const witnessNamed = (id: string) => {
-    const session = keeper.current;
+    const session = sessionManager.current;
     // A restarted daemon is a new session: it has forgotten whom the old one refused.
     return session !== undefined && session.id === id &&
         session.state !== "sealed"
@@ -82,7 +82,7 @@
         const theirs = Number(request.revision);
         const address = fleet.session(request.session)?.control_address;
         if (address !== undefined) {
-          spreader.noteRevision(address, theirs);
+          gossiper.recordPeerRevision(address, theirs);
         }
         const delta = fleet.deltaSince(theirs);
         return create(ExchangeResponseSchema, {
@@ -91,11 +91,11 @@
         });
       },
       suspect: (request) => {
-        planner.noteSuspicions(request.witness, request.sessions);
+        planner.recordSuspicions(request.witness, request.sessions);
         return {};
       },
       release: (request) => {
-        const session = keeper.current;
+        const session = sessionManager.current;
         if (session === undefined || session.id !== request.session) {
           return create(ReleaseResponseSchema, {});
         }
@@ -106,7 +106,7 @@
         });
         return create(ReleaseResponseSchema, { released });
       },
-      report: (request) => ({ isPlanner: planner.noteReport(request) }),
+      report: (request) => ({ isPlanner: planner.recordReport(request) }),
       fleetStatus: () => planner.describeFleet(),
     });
 }
--- a/packages/daemon/src/planner.ts
+++ b/packages/daemon/src/planner.ts
@@ -38,7 +38,7 @@
 import { HandoverRunner } from "./handover_runner.ts";
 import type { PeerClients } from "./peer_clients.ts";
 import { PlannerElection } from "./planner_election.ts";
-import { ReportBoard } from "./report_board.ts";
+import { ReportRegistry } from "./report_registry.ts";
 
 /** A session that has not reported for so long is suspected, in milliseconds. */
 const UNREPORTED_MS = 15_000;
@@ -63,7 +63,7 @@
 export class Planner {
   private readonly election: PlannerElection;
   private readonly suspicions = SuspicionLedger.create();
-  private readonly reports = ReportBoard.create();
+  private readonly reports = ReportRegistry.create();
   private readonly round: Background;
   private readonly firstSeenMs = new Map<string, number>();
   private readonly endedSinceMs = new Map<string, number>();
@@ -114,7 +114,7 @@
   }
 
   /** Notes that a witness has not heard from sessions for too long. */
-  noteSuspicions(witness: string, sessions: readonly string[]): void {
+  recordSuspicions(witness: string, sessions: readonly string[]): void {
     const nowMs = monotonicMs();
     sessions.forEach((session) =>
       this.suspicions.report(session, { witness, nowMs })
@@ -122,8 +122,8 @@
   }
 
   /** Notes a daemon's report; returns whether this daemon is the planner. */
-  noteReport(report: ReportRequest): boolean {
-    this.reports.note(report, monotonicMs());
+  recordReport(report: ReportRequest): boolean {
+    this.reports.record(report, monotonicMs());
     return this.isPlanner;
   }
 
@@ -137,9 +137,9 @@
         this.context.fleet.configuration?.version.version ?? 0,
       ),
       revision: BigInt(this.context.fleet.revision),
-      daemons: this.reports.all().map(({ report, atMs }) => ({
+      daemons: this.reports.all().map(({ report, receivedAtMs }) => ({
         report,
-        ageMs: nowMs - atMs,
+        ageMs: nowMs - receivedAtMs,
       })),
       stuck: this.takeovers.stuck(),
     });
@@ -216,7 +216,7 @@
       if (replaced.has(session.id)) {
         return "its daemon restarted";
       }
-      const heardMs = this.reports.latest(session.id)?.atMs ??
+      const heardMs = this.reports.latestOf(session.id)?.receivedAtMs ??
         this.firstSeenMs.get(session.id) ?? nowMs;
       return this.isSuspected(session, nowMs)
         ? "its witnesses heard nothing from it"
@@ -336,7 +336,7 @@
       )
       .filter((session) => !fleet.state.drains.has(session.host))
       .filter((session) =>
-        this.reports.latest(session.id)?.report.serving === true
+        this.reports.latestOf(session.id)?.report.serving === true
       )
       .map((session) => ({ session: session.id, capacity: session.slots }))
       .sort((left, right) => left.session < right.session ? -1 : 1);
--- a/packages/daemon/src/record_spreader.ts
+++ b/packages/daemon/src/record_gossiper.ts
@@ -19,12 +19,12 @@
 import type { Randomness } from "./randomness.ts";
 
 /** How many neighbours hear of news from one daemon. */
-export const NEIGHBOURS = 6;
+export const NEIGHBOUR_COUNT = 6;
 /** How often revisions are compared with a neighbour, in milliseconds. */
 const COMPARE_EVERY_MS = 1_000;
 
 /** Spreads the records of one daemon. */
-export class RecordSpreader {
+export class RecordGossiper {
   private readonly comparing: Background;
   /** How far each neighbour's copy is known to be complete. */
   private readonly peerRevisions = new Map<string, number>();
@@ -50,8 +50,8 @@
   }
 
   /** Creates a spreader. */
-  static create(context: RecordSpreader["context"]): RecordSpreader {
-    return new RecordSpreader(context);
+  static create(context: RecordGossiper["context"]): RecordGossiper {
+    return new RecordGossiper(context);
   }
 
   /** One step of the control loop. */
@@ -84,7 +84,7 @@
   }
 
   /** Notes how far a neighbour is, from a message of its own. */
-  noteRevision(address: string, revision: number): void {
+  recordPeerRevision(address: string, revision: number): void {
     this.peerRevisions.set(
       address,
       Math.max(revision, this.peerRevisions.get(address) ?? 0),
--- a/packages/daemon/src/renewal_channel.ts
+++ b/packages/daemon/src/renewal_channel.ts
@@ -26,7 +26,7 @@
   /** The client of the witness's daemon; asked again for each new stream. */
   readonly client: () => PeerClient | undefined;
   /** Called with each answer and the clock from before its renewal was sent. */
-  readonly onAnswer: (answer: RenewResponse_Answer, sentAtMs: number) => void;
+  readonly onResponse: (answer: RenewResponse_Answer, sentAtMs: number) => void;
 }
 
 /** Renewals to one witness. */
@@ -107,7 +107,7 @@
     const sentAtMs = this.sentAtMs.get(number);
     if (sentAtMs !== undefined) {
       this.sentAtMs.delete(number);
-      this.context.onAnswer(answer, sentAtMs);
+      this.context.onResponse(answer, sentAtMs);
     }
   }
 }
--- a/packages/daemon/src/report_board.ts
+++ b/packages/daemon/src/report_registry.ts
@@ -6,34 +6,34 @@
 import type { ReportRequest } from "@bamboolink/protocol";
 
 /** A report and when it came, on the planner's monotonic clock. */
-export interface BoardEntry {
+export interface ReceivedReport {
   readonly report: ReportRequest;
-  readonly atMs: number;
+  readonly receivedAtMs: number;
 }
 
 /** The latest report of each session. */
-export class ReportBoard {
-  private readonly entries = new Map<string, BoardEntry>();
+export class ReportRegistry {
+  private readonly entries = new Map<string, ReceivedReport>();
 
   private constructor() {}
 
   /** Creates an empty board. */
-  static create(): ReportBoard {
-    return new ReportBoard();
+  static create(): ReportRegistry {
+    return new ReportRegistry();
   }
 
   /** Notes a report. */
-  note(report: ReportRequest, atMs: number): void {
-    this.entries.set(report.session, { report, atMs });
+  record(report: ReportRequest, atMs: number): void {
+    this.entries.set(report.session, { report, receivedAtMs });
   }
 
   /** The latest report of a session. */
-  latest(session: string): BoardEntry | undefined {
+  latestOf(session: string): ReceivedReport | undefined {
     return this.entries.get(session);
   }
 
   /** All latest reports. */
-  all(): BoardEntry[] {
+  all(): ReceivedReport[] {
     return [...this.entries.values()];
   }
 
--- a/packages/daemon/src/reporter.ts
+++ b/packages/daemon/src/reporter.ts
@@ -8,7 +8,7 @@
 import { type ReportRequest, ReportRequestSchema } from "@bamboolink/protocol";
 import { Background } from "./background.ts";
 import type { Fleet } from "./fleet.ts";
-import type { OwnSession } from "./own_session.ts";
+import type { LocalSession } from "./local_session.ts";
 import type { PeerClients } from "./peer_clients.ts";
 
 /** How often a report is sent when nothing changes, in milliseconds. */
@@ -21,7 +21,7 @@
 const SUSPECT_EVERY_MS = 200;
 
 /** How the daemon is, beside what the fleet's records say. */
-export interface Condition {
+export interface RequestCounts {
   readonly running: number;
   readonly waiting: number;
 }
@@ -39,7 +39,7 @@
       fleet: Fleet;
       clients: PeerClients;
       logger: Logger;
-      condition: () => Condition;
+      requestCounts: () => RequestCounts;
     },
   ) {
     this.reporting = Background.create(context.logger, "reporter.report");
@@ -52,7 +52,7 @@
   }
 
   /** One step of the control loop. */
-  tick(nowMs: number, session: OwnSession | undefined): void {
+  tick(nowMs: number, session: LocalSession | undefined): void {
     if (session === undefined) {
       return;
     }
@@ -80,8 +80,8 @@
     });
   }
 
-  private makeReport(session: OwnSession, version: number): ReportRequest {
-    const { running, waiting } = this.context.condition();
+  private makeReport(session: LocalSession, version: number): ReportRequest {
+    const { running, waiting } = this.context.requestCounts();
     return create(ReportRequestSchema, {
       session: session.id,
       configurationVersion: BigInt(version),
@@ -94,7 +94,7 @@
   }
 
   /** Given up for a handover that its planner did not finish; the next planner finishes it. */
-  private releasedAssignments(session: OwnSession) {
+  private releasedAssignments(session: LocalSession) {
     return this.context.fleet.state.shards.flatMap(({ record }) => {
       const own = record.sessions.indexOf(session.id);
       return own < 0 ? [] : record.owners.flatMap((owner, index) => {
@@ -125,7 +125,7 @@
     return answer.isOk() && answer.value.isPlanner;
   }
 
-  private reportSilent(nowMs: number, session: OwnSession): void {
+  private reportSilent(nowMs: number, session: LocalSession): void {
     session.ledger.noteStep(nowMs);
     if (nowMs < this.nextSuspectMs) {
       return;
--- a/packages/daemon/src/session_keeper.ts
+++ b/packages/daemon/src/session_manager.ts
@@ -21,7 +21,7 @@
 import { Background } from "./background.ts";
 import { monotonicMs, wallClockMs } from "./clock.ts";
 import type { Fleet } from "./fleet.ts";
-import { OwnSession } from "./own_session.ts";
+import { LocalSession } from "./local_session.ts";
 import type { PeerClients } from "./peer_clients.ts";
 import type { Randomness } from "./randomness.ts";
 import { RenewalChannel } from "./renewal_channel.ts";
@@ -32,14 +32,14 @@
 const WRITE_PAUSE_MS = 500;
 
 /** What the keeper needs. */
-export interface SessionKeeperContext {
+export interface SessionManagerContext {
   readonly store: Store;
   readonly fleet: Fleet;
   readonly clients: PeerClients;
   readonly logger: Logger;
   readonly randomness: Randomness;
   readonly timing: LeaseTiming;
-  readonly place: {
+  readonly location: {
     readonly host: string;
     readonly region: string;
     readonly availabilityZone: string;
@@ -53,19 +53,19 @@
 }
 
 /** Keeps the session of one daemon. */
-export class SessionKeeper {
+export class SessionManager {
   private readonly writing: Background;
   private readonly confirming: Background;
   private readonly lastAnswers = new Map<string, number>();
   private readonly lastAnswerKinds = new Map<string, string>();
   private readonly channels = new Map<string, RenewalChannel>();
   private readonly gone = new Set<string>();
-  private session: OwnSession | undefined;
+  private session: LocalSession | undefined;
   private nextWriteMs = 0;
   private nextConfirmMs = 0;
   private closed = false;
 
-  private constructor(private readonly context: SessionKeeperContext) {
+  private constructor(private readonly context: SessionManagerContext) {
     this.writing = Background.create(context.logger, "session_keeper.write");
     this.confirming = Background.create(
       context.logger,
@@ -74,12 +74,12 @@
   }
 
   /** Creates a keeper without a session. */
-  static create(context: SessionKeeperContext): SessionKeeper {
-    return new SessionKeeper(context);
+  static create(context: SessionManagerContext): SessionManager {
+    return new SessionManager(context);
   }
 
   /** The current session, if there is one. */
-  get current(): OwnSession | undefined {
+  get current(): LocalSession | undefined {
     return this.session;
   }
 
@@ -114,7 +114,7 @@
     const session = this.session;
     this.session = undefined;
     // Whoever still holds the session may hand nothing over from here on.
-    session?.step("SEALED");
+    session?.applyEvent("SEALED");
     if (session === undefined || session.revision === 0 || !clean) {
       return;
     }
@@ -140,7 +140,7 @@
     this.nextWriteMs = nowMs +
       WRITE_PAUSE_MS * (1 + this.context.randomness.next());
     this.writing.start(async () => {
-      const session = OwnSession.create(
+      const session = LocalSession.create(
         this.makeRecord(announcement),
         this.context.timing,
       );
@@ -149,7 +149,7 @@
         return;
       }
       session.ledger.confirmOpen(sentAtMs);
-      session.step("OPENED");
+      session.applyEvent("OPENED");
       this.session = session;
       this.context.logger.log("session_started", {
         session: session.id,
@@ -159,21 +159,21 @@
   }
 
   private makeRecord(announcement: Announcement): SessionRecord {
-    const { place, fleet } = this.context;
-    const id = `${place.host}~${randomUUID()}`;
+    const { location, fleet } = this.context;
+    const id = `${location.host}~${randomUUID()}`;
     const replaces = fleet.sessions
       .filter((session) =>
-        session.host === place.host &&
-        session.control_address === place.controlAddress
+        session.host === location.host &&
+        session.control_address === location.controlAddress
       )
       .filter((session) => session.state !== "ended")
       .map((session) => session.id);
-    const identity = { id, host: place.host, region: place.region };
+    const identity = { id, host: location.host, region: location.region };
     return {
       ...identity,
-      availability_zone: place.availabilityZone,
-      control_address: place.controlAddress,
-      data_address: place.dataAddress,
+      availability_zone: location.availabilityZone,
+      control_address: location.controlAddress,
+      data_address: location.dataAddress,
       service: announcement.service,
       slots: announcement.slots,
       checks_fencing: announcement.checks_fencing,
@@ -198,7 +198,7 @@
     return Math.max(0, ...operations.map((operation) => operation.timeout_ms));
   }
 
-  private renew(session: OwnSession, witness: string): void {
+  private renew(session: LocalSession, witness: string): void {
     const known = this.channels.get(witness);
     const channel = known ?? this.createChannel(session, witness);
     this.channels.set(witness, channel);
@@ -206,7 +206,10 @@
     channel.renew();
   }
 
-  private createChannel(session: OwnSession, witness: string): RenewalChannel {
+  private createChannel(
+    session: LocalSession,
+    witness: string,
+  ): RenewalChannel {
     const { fleet, clients } = this.context;
     return RenewalChannel.create({
       session: session.id,
@@ -215,13 +218,13 @@
         const address = fleet.session(witness)?.control_address;
         return address === undefined ? undefined : clients.clientOf(address);
       },
-      onAnswer: (answer, sentAtMs) =>
+      onResponse: (answer, sentAtMs) =>
         this.takeAnswer(session, { witness, answer, sentAtMs }),
     });
   }
 
   private takeAnswer(
-    session: OwnSession,
+    session: LocalSession,
     given: { witness: string; answer: RenewResponse_Answer; sentAtMs: number },
   ): void {
     const { witness } = given;
@@ -257,9 +260,9 @@
       });
   }
 
-  private noteQuorum(session: OwnSession, nowMs: number): void {
+  private noteQuorum(session: LocalSession, nowMs: number): void {
     const held = nowMs < session.lease.validUntil;
-    if (session.step(held ? "QUORUM_HELD" : "QUORUM_LOST")) {
+    if (session.applyEvent(held ? "QUORUM_HELD" : "QUORUM_LOST")) {
       this.context.logger.log(held ? "session_resumed" : "session_suspended", {
         session: session.id,
         answers: this.describeAnswers(session, nowMs),
@@ -271,7 +274,7 @@
   }
 
   /** The last answer of each witness with its age. */
-  private describeAnswers(session: OwnSession, nowMs: number): string[] {
+  private describeAnswers(session: LocalSession, nowMs: number): string[] {
     return session.lease.witnesses.map((witness) => {
       const kind = this.lastAnswerKinds.get(witness) ?? "none";
       const ageMs = Math.round(
@@ -285,7 +288,7 @@
    * Reads the own record from the store while suspended: if it is open, this session may promise for
    * a while, so that sessions which were all cut off together can recover together.
    */
-  private async confirmOpen(session: OwnSession): Promise<void> {
+  private async confirmOpen(session: LocalSession): Promise<void> {
     const sentAtMs = monotonicMs();
     this.nextConfirmMs = sentAtMs +
       (this.context.timing.promiseMs / 2) *
@@ -314,8 +317,8 @@
     }
   }
 
-  private seal(session: OwnSession, reason: string): void {
-    if (session.step("SEALED")) {
+  private seal(session: LocalSession, reason: string): void {
+    if (session.applyEvent("SEALED")) {
       this.closeChannels([]);
       this.context.logger.log("session_sealed", {
         session: session.id,
@@ -325,7 +328,7 @@
   }
 
   /** Writes the record anew where witnesses, the backend server or the drain changed. */
-  private reviewRecord(session: OwnSession, nowMs: number): void {
+  private reviewRecord(session: LocalSession, nowMs: number): void {
     if (this.writing.isRunning || nowMs < this.nextWriteMs) {
       return;
     }
@@ -339,7 +342,7 @@
   }
 
   private wantedRecord(
-    session: OwnSession,
+    session: LocalSession,
     nowMs: number,
   ): SessionRecord | undefined {
     const announcement = this.context.announcement();
@@ -363,7 +366,7 @@
   }
 
   private unreachableWitnesses(
-    session: OwnSession,
+    session: LocalSession,
     nowMs: number,
   ): Set<string> {
     const silent = session.record.witnesses.filter((witness) => {
@@ -377,7 +380,7 @@
   }
 
   private async changeRecord(
-    session: OwnSession,
+    session: LocalSession,
     next: SessionRecord,
   ): Promise<void> {
     const before = session.record.witnesses;
@@ -402,7 +405,7 @@
    * as the old one stands, a write that was sent earlier may still arrive.
    */
   private async writeRecord(
-    session: OwnSession,
+    session: LocalSession,
     record: SessionRecord,
   ): Promise<boolean> {
     const written = await writeAndVerify(this.context.store, {
@@ -411,7 +414,7 @@
       expectedRevision: session.revision,
     });
     if (written.isOk()) {
-      session.settle(record, written.value);
+      session.confirmRecord(record, written.value);
       return true;
     }
     if (written.error.code === "conflict") {
@@ -420,7 +423,7 @@
     return false;
   }
 
-  private async readRecord(session: OwnSession): Promise<void> {
+  private async readRecord(session: LocalSession): Promise<void> {
     const found = await this.context.store.get(sessionKey(session.id));
     const record = found.isOk() && found.value !== undefined
       ? SessionRecord.safeParse(JSON.parse(found.value.value))
@@ -434,6 +437,6 @@
       this.seal(session, record.data.sealed_reason);
       return;
     }
-    session.settle(record.data, found.value.revision);
+    session.confirmRecord(record.data, found.value.revision);
   }
 }
--- a/packages/operator/src/fleet_commands.ts
+++ b/packages/operator/src/fleet_commands.ts
@@ -16,7 +16,7 @@
 import type { FleetState, Versioned } from "@bamboolink/view";
 import { Command, Option } from "clipanion";
 import { err, ok, type Result } from "neverthrow";
-import { type DaemonLine, readFleetStatus } from "./fleet_status.ts";
+import { type DaemonStatus, readFleetStatus } from "./fleet_status.ts";
 import {
   defaultAuthor,
   FleetCommand,
@@ -47,7 +47,7 @@
   }
 }
 
-function formatDaemons(daemons: readonly DaemonLine[]): string[] {
+function formatDaemons(daemons: readonly DaemonStatus[]): string[] {
   const rows = [
     [
       "HOST",
--- a/packages/operator/src/fleet_status.ts
+++ b/packages/operator/src/fleet_status.ts
@@ -18,7 +18,7 @@
 const TIMEOUT_MS = 2_000;
 
 /** One daemon as the planner knows it. */
-export interface DaemonLine {
+export interface DaemonStatus {
   readonly host: string;
   readonly availabilityZone: string;
   readonly service: string;
@@ -36,7 +36,7 @@
 /** Asks the planner and puts its answer beside the records of the store. */
 export async function readFleetStatus(
   fleet: FleetState,
-): Promise<Result<DaemonLine[], BamboolinkError>> {
+): Promise<Result<DaemonStatus[], BamboolinkError>> {
   const planner = fleet.sessions.get(fleet.planner?.record.session ?? "")
     ?.record;
   if (planner === undefined) {
@@ -99,7 +99,7 @@
     report: Reported | undefined;
     planner: SessionRecord;
   },
-): DaemonLine {
+): DaemonStatus {
   const { report, ageMs } = context.report ?? {};
   return {
     host: session.host,
