--- a/packages/daemon/src/report_registry.ts
+++ b/packages/daemon/src/report_registry.ts
@@ -23,7 +23,7 @@
   }
 
   /** Notes a report. */
-  record(report: ReportRequest, atMs: number): void {
+  record(report: ReportRequest, receivedAtMs: number): void {
     this.entries.set(report.session, { report, receivedAtMs });
   }
 
