--- a/packages/daemon/src/local_session.ts
+++ b/packages/daemon/src/local_session.ts
@@ -1,5 +1,5 @@
 /**
- * Everything that belongs to one session of this daemon and ends with it.
+ * State of one session of this daemon, discarded when the session ends.
  *
  * @module
  */
@@ -14,33 +14,33 @@
 } from "@bamboolink/ownership";
 import type { SessionRecord, TableShard } from "@bamboolink/types";
 
-/** How long non-idempotent requests are remembered, in milliseconds. */
-const IDEMPOTENCY_MEMORY_MS = 600_000;
-const IDEMPOTENCY_ENTRIES = 100_000;
-/** The most by which the wall clocks of callers and hosts may differ, in milliseconds. */
+/** How long records of non-idempotent requests are retained, in milliseconds. */
+const IDEMPOTENCY_RETENTION_MS = 600_000;
+const MAX_IDEMPOTENCY_ENTRIES = 100_000;
+/** Maximum difference between the wall clocks of callers and hosts, in milliseconds. */
 export const MAX_CLOCK_SKEW_MS = 1_000;
 
 /** One session of this daemon. */
 export class LocalSession {
-  /** Promises that others gave this session. */
+  /** Promises that witnesses made to this session. */
   readonly lease: LeaseHolder;
-  /** Promises that this session gave others. */
+  /** Promises that this session made to other sessions, as their witness. */
   readonly ledger: WitnessLedger;
-  /** What this session gave up. */
+  /** Assignments that this session released. */
   readonly releases = ReleaseLedger.create();
-  /** Non-idempotent requests that this session ran. */
+  /** Non-idempotent requests that this session ran, with their responses. */
   readonly idempotency = IdempotencyLedger.create({
-    memoryMs: IDEMPOTENCY_MEMORY_MS,
-    entries: IDEMPOTENCY_ENTRIES,
+    memoryMs: IDEMPOTENCY_RETENTION_MS,
+    entries: MAX_IDEMPOTENCY_ENTRIES,
     clockSkewMs: MAX_CLOCK_SKEW_MS,
   });
-  private readonly tenures = new Map<
+  private readonly assignmentLeases = new Map<
     string,
-    { token: number; sinceMs: number }
+    { token: number; startedAtMs: number }
   >();
-  /** Sets of witnesses that were proposed and may or may not be in the store. */
-  private proposed: (readonly string[])[] = [];
-  private chartState = SESSION_CHART.next(SESSION_CHART.initial, "ANNOUNCED");
+  /** Proposed sets of witnesses whose writes may or may not have reached the store. */
+  private proposedWitnessSets: (readonly string[])[] = [];
+  private currentState = SESSION_CHART.next(SESSION_CHART.initial, "ANNOUNCED");
 
   private constructor(
     private confirmedRecord: SessionRecord,
@@ -57,60 +57,69 @@
     return new LocalSession(record, 0, timing);
   }
 
-  /** The record as last written or read. */
+  /** The record as last confirmed by a write or read. */
   get record(): SessionRecord {
     return this.confirmedRecord;
   }
 
-  /** The store's revision of the record; 0 while it is not written. */
+  /** The store's revision of the record; 0 until it is written. */
   get revision(): number {
     return this.confirmedRevision;
   }
 
   /**
-   * Notes that a change of witnesses is about to be sent. Until it is settled, any of the sets may be
-   * the one that a takeover asks, so a quorum of each is needed.
+   * Records that a change of witnesses is about to be written. Until `confirmRecord`, a takeover may query
+   * any of the sets, so a quorum of each is required.
    */
   proposeWitnesses(witnesses: readonly string[]): void {
-    this.proposed.push(witnesses);
-    this.lease.setWitnesses(this.confirmedRecord.witnesses, ...this.proposed);
+    this.proposedWitnessSets.push(witnesses);
+    this.lease.setWitnesses(
+      this.confirmedRecord.witnesses,
+      ...this.proposedWitnessSets,
+    );
   }
 
-  /** Notes the record that is certainly in the store, at a newer revision than before. */
+  /** Records which record is certainly in the store, at a newer revision than before. */
   confirmRecord(record: SessionRecord, revision: number): void {
     this.confirmedRecord = record;
     this.confirmedRevision = revision;
-    this.proposed = [];
+    this.proposedWitnessSets = [];
     this.lease.setWitnesses(record.witnesses);
   }
 
-  /** Identity of the session. */
+  /** Id of the session. */
   get id(): string {
     return this.record.id;
   }
 
-  /** State in the session chart. */
+  /** State in the session state chart. */
   get state(): string {
-    return this.chartState;
+    return this.currentState;
   }
 
-  /** Steps the session chart; returns whether the state changed. */
+  /** Applies an event to the session state chart; returns whether the state changed. */
   applyEvent(
     event: "OPENED" | "QUORUM_HELD" | "QUORUM_LOST" | "SEALED",
   ): boolean {
-    const before = this.chartState;
-    this.chartState = SESSION_CHART.next(before, event);
-    return this.chartState !== before;
+    const before = this.currentState;
+    this.currentState = SESSION_CHART.next(before, event);
+    return this.currentState !== before;
   }
 
-  /** Until when the session may serve, on the monotonic clock; in the past where it may not. */
+  /**
+   * End of the time in which the session may serve, in milliseconds on the monotonic clock; `-Infinity`
+   * if it may not serve.
+   */
   get validUntilMs(): number {
-    const isOpen = this.chartState === "suspended" ||
-      this.chartState === "serving";
+    const isOpen = this.currentState === "suspended" ||
+      this.currentState === "serving";
     return isOpen ? this.lease.validUntil : -Infinity;
   }
 
-  /** Whether a request may be handed over under an assignment, checked at the moment of doing so. */
+  /**
+   * Whether a request may be dispatched to the backend server under an assignment. Check this immediately
+   * before dispatching.
+   */
   mayServe(
     assignment: AssignmentId & { session: string },
     nowMs: number,
@@ -121,49 +130,54 @@
   }
 
   /**
-   * Whether work may run for so long. A takeover from a backend server that does not check its grants
-   * waits as long as the record says; longer work would run on beside the next owner's.
+   * Whether a request may run for the given time. A takeover from a backend server that does not check
+   * fencing tokens waits for the record's `longest_work_ms`; a longer request could still be running while
+   * the next owner serves the same keys.
    */
-  mayRunFor(milliseconds: number): boolean {
-    const { checks_fencing: checks, longest_work_ms: longestMs } = this.record;
-    return checks || milliseconds <= longestMs;
+  mayRunFor(durationMs: number): boolean {
+    const { checks_fencing: checks, longest_work_ms: maxDurationMs } =
+      this.record;
+    return checks || durationMs <= maxDurationMs;
   }
 
-  /** Notes since when, on the wall clock, this session has held each of its assignments. */
+  /** Records when this session first held each of its assignments, in milliseconds on the wall clock. */
   recordAssignments(shards: readonly TableShard[], wallClockMs: number): void {
     shards.forEach((shard) => {
-      const own = shard.sessions.indexOf(this.id);
-      if (own < 0) {
+      const ownIndex = shard.sessions.indexOf(this.id);
+      if (ownIndex < 0) {
         return;
       }
       shard.owners.forEach((owner, index) => {
-        if (owner === own) {
+        if (owner === ownIndex) {
           const name = `${shard.service}/${shard.first + index}`;
-          this.noteTenure(name, {
+          this.recordLeaseStart(name, {
             token: shard.tokens[index] ?? 0,
-            sinceMs: wallClockMs,
+            startedAtMs: wallClockMs,
           });
         }
       });
     });
   }
 
-  /** Since when, on the wall clock, this session has held an assignment. */
+  /**
+   * When this session first held an assignment, in milliseconds on the wall clock; `Infinity` if it does not
+   * hold it.
+   */
   leaseStartedAtMs(assignment: AssignmentId): number {
-    const known = this.tenures.get(
+    const known = this.assignmentLeases.get(
       `${assignment.service}/${assignment.partition}`,
     );
     return known !== undefined && known.token === assignment.token
-      ? known.sinceMs
+      ? known.startedAtMs
       : Infinity;
   }
 
-  private noteTenure(
+  private recordLeaseStart(
     name: string,
-    tenure: { token: number; sinceMs: number },
+    lease: { token: number; startedAtMs: number },
   ): void {
-    if (this.tenures.get(name)?.token !== tenure.token) {
-      this.tenures.set(name, tenure);
+    if (this.assignmentLeases.get(name)?.token !== lease.token) {
+      this.assignmentLeases.set(name, lease);
     }
   }
 }
--- a/packages/daemon/src/renewal_channel.ts
+++ b/packages/daemon/src/renewal_channel.ts
@@ -1,8 +1,8 @@
 /**
- * A long-lived stream of renewals from one session to one of its witnesses.
+ * A long-lived stream of promise renewals from one session to one of its witnesses.
  *
- * A call for each renewal costs about seven times the processor time of a message on an open stream
- * (`npm run bench -- hop`), and renewals are most of what daemons say to each other.
+ * A separate call for each renewal takes about seven times the processor time of a message on an open stream
+ * (`npm run bench -- hop`), and renewals are most of the messages between daemons.
  *
  * @module
  */
@@ -16,25 +16,28 @@
 import { monotonicMs } from "./clock.ts";
 import type { PeerClient } from "./peer_clients.ts";
 
-/** With so many renewals unanswered the stream is taken for dead and opened anew. */
-const MAXIMUM_UNANSWERED = 4;
+/** Number of renewals without a response at which the stream is assumed broken and reopened. */
+const MAX_UNANSWERED_RENEWALS = 4;
 
-/** What a channel needs. */
+/** Dependencies of a channel. */
 export interface RenewalChannelContext {
   readonly session: string;
   readonly witness: string;
-  /** The client of the witness's daemon; asked again for each new stream. */
+  /** The client of the witness's daemon, `undefined` if its address is unknown; called for each new stream. */
   readonly client: () => PeerClient | undefined;
-  /** Called with each answer and the clock from before its renewal was sent. */
+  /**
+   * Called with each response and the time just before its renewal was sent, in milliseconds on the monotonic
+   * clock.
+   */
   readonly onResponse: (answer: RenewResponse_Answer, sentAtMs: number) => void;
 }
 
-/** Renewals to one witness. */
+/** Sends renewals to one witness. */
 export class RenewalChannel {
-  private readonly sentAtMs = new Map<bigint, number>();
-  private outgoing: PassThrough | undefined;
-  private abort: AbortController | undefined;
-  private number = 0n;
+  private readonly sentAtMsByNumber = new Map<bigint, number>();
+  private requestStream: PassThrough | undefined;
+  private abortController: AbortController | undefined;
+  private lastNumber = 0n;
 
   private constructor(private readonly context: RenewalChannelContext) {}
 
@@ -43,29 +46,29 @@
     return new RenewalChannel(context);
   }
 
-  /** Sends one renewal. */
+  /** Sends one renewal; does nothing if the witness's address is unknown. */
   renew(): void {
-    if (this.sentAtMs.size >= MAXIMUM_UNANSWERED) {
+    if (this.sentAtMsByNumber.size >= MAX_UNANSWERED_RENEWALS) {
       this.close();
     }
-    const outgoing = this.outgoing ?? this.open();
+    const outgoing = this.requestStream ?? this.open();
     if (outgoing === undefined) {
       return;
     }
-    this.number += 1n;
-    this.sentAtMs.set(this.number, monotonicMs());
+    this.lastNumber += 1n;
+    this.sentAtMsByNumber.set(this.lastNumber, monotonicMs());
     const { session, witness } = this.context;
-    const { number } = this;
+    const { lastNumber: number } = this;
     outgoing.write(create(RenewRequestSchema, { session, witness, number }));
   }
 
-  /** Ends the stream; a later renewal opens a new one. */
+  /** Closes the stream; the next renewal opens a new one. */
   close(): void {
-    this.abort?.abort();
-    this.outgoing?.destroy();
-    this.outgoing = undefined;
-    this.abort = undefined;
-    this.sentAtMs.clear();
+    this.abortController?.abort();
+    this.requestStream?.destroy();
+    this.requestStream = undefined;
+    this.abortController = undefined;
+    this.sentAtMsByNumber.clear();
   }
 
   private open(): PassThrough | undefined {
@@ -76,8 +79,8 @@
     const outgoing = new PassThrough({ objectMode: true });
     const abort = new AbortController();
     outgoing.on("error", () => undefined);
-    this.outgoing = outgoing;
-    this.abort = abort;
+    this.requestStream = outgoing;
+    this.abortController = abort;
     void this.read(client, { outgoing, abort });
     return outgoing;
   }
@@ -92,21 +95,21 @@
       for await (
         const { answer, number } of client.renew(requests, { signal })
       ) {
-        this.takeAnswer(answer, number);
+        this.handleResponse(answer, number);
       }
     } catch {
-      // The next renewal opens a new stream; a witness that stays silent is noticed by its silence.
+      // The next renewal opens a new stream; a witness that stays unresponsive is found by its missing responses.
     }
-    if (this.outgoing === stream.outgoing) {
+    if (this.requestStream === stream.outgoing) {
       this.close();
     }
   }
 
-  /** Answers belong to renewals by number: a late one must not count from a later sending. */
-  private takeAnswer(answer: RenewResponse_Answer, number: bigint): void {
-    const sentAtMs = this.sentAtMs.get(number);
+  /** Matches responses to renewals by number: a late one must not count from the send time of a later renewal. */
+  private handleResponse(answer: RenewResponse_Answer, number: bigint): void {
+    const sentAtMs = this.sentAtMsByNumber.get(number);
     if (sentAtMs !== undefined) {
-      this.sentAtMs.delete(number);
+      this.sentAtMsByNumber.delete(number);
       this.context.onResponse(answer, sentAtMs);
     }
   }
--- a/packages/daemon/src/session_manager.ts
+++ b/packages/daemon/src/session_manager.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps this daemon's session: opens it, renews its promises, changes its witnesses, and starts a new
- * one after it was sealed.
+ * Manages this daemon's session: opens it, renews its promises, replaces its witnesses, and opens a new
+ * session after the current one was sealed.
  *
  * @module
  */
@@ -26,12 +26,12 @@
 import type { Randomness } from "./randomness.ts";
 import { RenewalChannel } from "./renewal_channel.ts";
 
-/** A witness that has been silent for so long is replaced, in milliseconds. */
-const UNREACHABLE_MS = 3_000;
-/** The least time between two changes of the record, in milliseconds. */
-const WRITE_PAUSE_MS = 500;
+/** Time without a response after which a witness is replaced, in milliseconds. */
+const WITNESS_TIMEOUT_MS = 3_000;
+/** Minimum time between two writes of the session record, before jitter, in milliseconds. */
+const MIN_WRITE_INTERVAL_MS = 500;
 
-/** What the keeper needs. */
+/** Dependencies of the session manager. */
 export interface SessionManagerContext {
   readonly store: Store;
   readonly fleet: Fleet;
@@ -46,34 +46,34 @@
     readonly controlAddress: string;
     readonly dataAddress: string;
   };
-  /** What the backend server announced; `undefined` before it did. */
+  /** The backend server's announcement; `undefined` before the first one. */
   readonly announcement: () => Announcement | undefined;
-  /** Whether this daemon should own nothing: it stops, or its backend server is away. */
+  /** Whether this daemon should own no keys: it is stopping, or its backend server is unreachable. */
   readonly isDraining: () => boolean;
 }
 
-/** Keeps the session of one daemon. */
+/** Manages the session of one daemon. */
 export class SessionManager {
-  private readonly writing: Background;
-  private readonly confirming: Background;
-  private readonly lastAnswers = new Map<string, number>();
-  private readonly lastAnswerKinds = new Map<string, string>();
+  private readonly writeTask: Background;
+  private readonly confirmTask: Background;
+  private readonly lastResponseAtMs = new Map<string, number>();
+  private readonly lastResponses = new Map<string, string>();
   private readonly channels = new Map<string, RenewalChannel>();
-  private readonly gone = new Set<string>();
+  private readonly endedWitnesses = new Set<string>();
   private session: LocalSession | undefined;
-  private nextWriteMs = 0;
-  private nextConfirmMs = 0;
+  private nextWriteAtMs = 0;
+  private nextConfirmAtMs = 0;
   private closed = false;
 
   private constructor(private readonly context: SessionManagerContext) {
-    this.writing = Background.create(context.logger, "session_keeper.write");
-    this.confirming = Background.create(
+    this.writeTask = Background.create(context.logger, "session_keeper.write");
+    this.confirmTask = Background.create(
       context.logger,
       "session_keeper.confirm",
     );
   }
 
-  /** Creates a keeper without a session. */
+  /** Creates a manager without a session. */
   static create(context: SessionManagerContext): SessionManager {
     return new SessionManager(context);
   }
@@ -83,9 +83,13 @@
     return this.session;
   }
 
-  /** One step of the control loop. */
+  /**
+   * Runs one step of the control loop.
+   *
+   * @param nowMs current time on the monotonic clock, in milliseconds.
+   */
   tick(nowMs: number): void {
-    this.noticeSeal();
+    this.detectSeal();
     const session = this.session;
     if (session === undefined || session.state === "sealed") {
       this.openSession(nowMs);
@@ -98,22 +102,22 @@
       this.renew(session, witness)
     );
     this.closeChannels(session.lease.witnesses);
-    this.noteQuorum(session, nowMs);
+    this.updateQuorum(session, nowMs);
     this.reviewRecord(session, nowMs);
   }
 
   /**
    * Ends the session.
    *
-   * @param clean whether nothing of it runs any more. Only then is it written down as ended; otherwise
-   *   a takeover has to wait, as for a daemon that was lost.
+   * @param clean whether no request of the session is still running. Only then is its record written as
+   *   ended; otherwise a takeover has to wait, as it does for a lost daemon.
    */
   async close(clean: boolean): Promise<void> {
     this.closed = true;
     this.closeChannels([]);
     const session = this.session;
     this.session = undefined;
-    // Whoever still holds the session may hand nothing over from here on.
+    // Code that still has a reference to the session must dispatch no more requests under it.
     session?.applyEvent("SEALED");
     if (session === undefined || session.revision === 0 || !clean) {
       return;
@@ -132,14 +136,14 @@
     const ready = announcement !== undefined && fleet.revision > 0 &&
       !this.context.isDraining();
     if (
-      !ready || this.closed || this.writing.isRunning ||
-      nowMs < this.nextWriteMs
+      !ready || this.closed || this.writeTask.isRunning ||
+      nowMs < this.nextWriteAtMs
     ) {
       return;
     }
-    this.nextWriteMs = nowMs +
-      WRITE_PAUSE_MS * (1 + this.context.randomness.next());
-    this.writing.start(async () => {
+    this.nextWriteAtMs = nowMs +
+      MIN_WRITE_INTERVAL_MS * (1 + this.context.randomness.next());
+    this.writeTask.start(async () => {
       const session = LocalSession.create(
         this.makeRecord(announcement),
         this.context.timing,
@@ -177,7 +181,7 @@
       service: announcement.service,
       slots: announcement.slots,
       checks_fencing: announcement.checks_fencing,
-      longest_work_ms: this.longestWorkMs(announcement.service),
+      longest_work_ms: this.maxRequestDurationMs(announcement.service),
       draining: false,
       state: "open",
       witnesses: chooseWitnesses(
@@ -191,8 +195,8 @@
     };
   }
 
-  /** The longest timeout of the service's operations: so long may work run on after it was handed over. */
-  private longestWorkMs(service: string): number {
+  /** The longest timeout of the service's operations, in milliseconds: how long a dispatched request may run. */
+  private maxRequestDurationMs(service: string): number {
     const operations =
       this.context.fleet.configuration?.services.get(service)?.operations ?? [];
     return Math.max(0, ...operations.map((operation) => operation.timeout_ms));
@@ -219,38 +223,42 @@
         return address === undefined ? undefined : clients.clientOf(address);
       },
       onResponse: (answer, sentAtMs) =>
-        this.takeAnswer(session, { witness, answer, sentAtMs }),
+        this.handleResponse(session, { witness, answer, sentAtMs }),
     });
   }
 
-  private takeAnswer(
+  private handleResponse(
     session: LocalSession,
-    given: { witness: string; answer: RenewResponse_Answer; sentAtMs: number },
+    response: {
+      witness: string;
+      answer: RenewResponse_Answer;
+      sentAtMs: number;
+    },
   ): void {
-    const { witness } = given;
-    this.lastAnswers.set(witness, monotonicMs());
-    this.lastAnswerKinds.set(
+    const { witness } = response;
+    this.lastResponseAtMs.set(witness, monotonicMs());
+    this.lastResponses.set(
       witness,
-      RenewResponse_Answer[given.answer].toLowerCase(),
+      RenewResponse_Answer[response.answer].toLowerCase(),
     );
-    switch (given.answer) {
+    switch (response.answer) {
       case RenewResponse_Answer.PROMISED:
-        session.lease.recordPromise(witness, given.sentAtMs);
+        session.lease.recordPromise(witness, response.sentAtMs);
         break;
       case RenewResponse_Answer.REFUSED:
         session.lease.dropPromise(witness);
-        this.nextConfirmMs = 0;
+        this.nextConfirmAtMs = 0;
         break;
       case RenewResponse_Answer.NOT_PERMITTED:
         session.lease.noteNotPermitted(witness, monotonicMs());
         break;
       case RenewResponse_Answer.NOT_THE_WITNESS:
-        this.gone.add(witness);
+        this.endedWitnesses.add(witness);
         break;
     }
   }
 
-  /** Ends the streams to sessions that are not witnesses any more. */
+  /** Closes the streams to sessions that are no longer witnesses. */
   private closeChannels(witnesses: readonly string[]): void {
     [...this.channels]
       .filter(([witness]) => !witnesses.includes(witness))
@@ -260,37 +268,38 @@
       });
   }
 
-  private noteQuorum(session: LocalSession, nowMs: number): void {
+  private updateQuorum(session: LocalSession, nowMs: number): void {
     const held = nowMs < session.lease.validUntil;
     if (session.applyEvent(held ? "QUORUM_HELD" : "QUORUM_LOST")) {
       this.context.logger.log(held ? "session_resumed" : "session_suspended", {
         session: session.id,
-        answers: this.describeAnswers(session, nowMs),
+        answers: this.describeResponses(session, nowMs),
       });
     }
-    if (!held && nowMs >= this.nextConfirmMs) {
-      this.confirming.start(() => this.confirmOpen(session));
+    if (!held && nowMs >= this.nextConfirmAtMs) {
+      this.confirmTask.start(() => this.confirmOpen(session));
     }
   }
 
-  /** The last answer of each witness with its age. */
-  private describeAnswers(session: LocalSession, nowMs: number): string[] {
+  /** Lists each witness's last response and its age, for the log. */
+  private describeResponses(session: LocalSession, nowMs: number): string[] {
     return session.lease.witnesses.map((witness) => {
-      const kind = this.lastAnswerKinds.get(witness) ?? "none";
+      const kind = this.lastResponses.get(witness) ?? "none";
       const ageMs = Math.round(
-        nowMs - (this.lastAnswers.get(witness) ?? nowMs),
+        nowMs - (this.lastResponseAtMs.get(witness) ?? nowMs),
       );
       return `${witness} ${kind} ${ageMs} ms ago`;
     });
   }
 
   /**
-   * Reads the own record from the store while suspended: if it is open, this session may promise for
-   * a while, so that sessions which were all cut off together can recover together.
+   * Reads this session's record from the store while suspended. If the record is open, this session may
+   * make promises for a limited time, so that sessions that lost their connections together can recover
+   * together.
    */
   private async confirmOpen(session: LocalSession): Promise<void> {
     const sentAtMs = monotonicMs();
-    this.nextConfirmMs = sentAtMs +
+    this.nextConfirmAtMs = sentAtMs +
       (this.context.timing.promiseMs / 2) *
         (0.75 + this.context.randomness.next() / 2);
     const found = await this.context.store.get(sessionKey(session.id));
@@ -305,7 +314,7 @@
     }
   }
 
-  private noticeSeal(): void {
+  private detectSeal(): void {
     const session = this.session;
     const record = session === undefined
       ? undefined
@@ -327,21 +336,21 @@
     }
   }
 
-  /** Writes the record anew where witnesses, the backend server or the drain changed. */
+  /** Rewrites the record if the witnesses, the backend server's slots or the drain state changed. */
   private reviewRecord(session: LocalSession, nowMs: number): void {
-    if (this.writing.isRunning || nowMs < this.nextWriteMs) {
+    if (this.writeTask.isRunning || nowMs < this.nextWriteAtMs) {
       return;
     }
-    const next = this.wantedRecord(session, nowMs);
+    const next = this.desiredRecord(session, nowMs);
     if (next === undefined) {
       return;
     }
-    this.nextWriteMs = nowMs +
-      WRITE_PAUSE_MS * (1 + this.context.randomness.next());
-    this.writing.start(() => this.changeRecord(session, next));
+    this.nextWriteAtMs = nowMs +
+      MIN_WRITE_INTERVAL_MS * (1 + this.context.randomness.next());
+    this.writeTask.start(() => this.changeRecord(session, next));
   }
 
-  private wantedRecord(
+  private desiredRecord(
     session: LocalSession,
     nowMs: number,
   ): SessionRecord | undefined {
@@ -357,7 +366,7 @@
       draining: this.context.isDraining(),
       longest_work_ms: Math.max(
         session.record.longest_work_ms,
-        this.longestWorkMs(session.record.service),
+        this.maxRequestDurationMs(session.record.service),
       ),
     };
     return JSON.stringify(wanted) === JSON.stringify(session.record)
@@ -369,14 +378,14 @@
     session: LocalSession,
     nowMs: number,
   ): Set<string> {
-    const silent = session.record.witnesses.filter((witness) => {
-      const last = this.lastAnswers.get(witness);
+    const unresponsive = session.record.witnesses.filter((witness) => {
+      const last = this.lastResponseAtMs.get(witness);
       if (last === undefined) {
-        this.lastAnswers.set(witness, nowMs);
+        this.lastResponseAtMs.set(witness, nowMs);
       }
-      return last !== undefined && nowMs - last > UNREACHABLE_MS;
+      return last !== undefined && nowMs - last > WITNESS_TIMEOUT_MS;
     });
-    return new Set([...silent, ...this.gone]);
+    return new Set([...unresponsive, ...this.endedWitnesses]);
   }
 
   private async changeRecord(
@@ -400,9 +409,11 @@
   }
 
   /**
-   * Writes the record; where the effect is unknown, all sets of witnesses that were proposed go on
-   * counting until a later write settles it. Only a record with a newer revision settles it: as long
-   * as the old one stands, a write that was sent earlier may still arrive.
+   * Writes the record. If the effect of the write is unknown, a quorum of every proposed set of witnesses
+   * stays necessary until a record with a newer revision is written or read: while the old record is in
+   * the store, a write that was sent earlier may still be applied.
+   *
+   * @returns whether the record is certainly in the store.
    */
   private async writeRecord(
     session: LocalSession,
