--- a/packages/daemon/src/handover_runner.ts
+++ b/packages/daemon/src/handover_runner.ts
@@ -1,6 +1,6 @@
 /**
- * Planned handovers: the old owner stops admitting and finishes what it runs, then the table changes.
- * Nothing waits for an expiry.
+ * Planned handovers: the current owner stops admitting requests and finishes those in flight, then the partition
+ * is reassigned in the table. No lease has to expire.
  *
  * @module
  */
@@ -22,12 +22,12 @@
 import type { PeerClients } from "./peer_clients.ts";
 import type { ReportRegistry } from "./report_registry.ts";
 
-/** Plans are made this often, in milliseconds. */
-const PLAN_EVERY_MS = 1_000;
-/** The largest share of a service's partitions that one plan moves beyond what leaving owners force. */
-const MAXIMUM_CHURN = 0.01;
-/** The most partitions that are asked from one owner at a time, so that few keys pause at once. */
-const BATCH = 256;
+/** Minimum time between two plans, in milliseconds. */
+const PLAN_INTERVAL_MS = 1_000;
+/** Maximum share of a service's partitions that one plan moves in addition to those of draining owners. */
+const MAX_MOVED_SHARE = 0.01;
+/** Maximum number of partitions that one owner releases per plan, so that few keys are paused at a time. */
+const MAX_BATCH_PARTITIONS = 256;
 
 interface Handover {
   readonly service: string;
@@ -35,7 +35,7 @@
   state: string;
 }
 
-/** What the runner needs. */
+/** Dependencies of the runner. */
 export interface HandoverContext {
   readonly store: Store;
   readonly fleet: Fleet;
@@ -44,10 +44,10 @@
   readonly reports: ReportRegistry;
 }
 
-/** Runs the handovers of one planner's term. */
+/** Runs the handovers during one planner's term. */
 export class HandoverRunner {
   private handovers: Handover[] = [];
-  private nextPlanMs = 0;
+  private nextPlanAtMs = 0;
 
   private constructor(private readonly context: HandoverContext) {}
 
@@ -56,16 +56,21 @@
     return new HandoverRunner(context);
   }
 
-  /** Plans, asks owners to release, and writes what they released. */
+  /**
+   * Plans handovers, requests releases from the owners, and reassigns the released partitions.
+   *
+   * @param nowMs current time on the monotonic clock, in milliseconds.
+   * @param candidates sessions to which partitions may be assigned, by service.
+   */
   async run(
     nowMs: number,
     candidates: ReadonlyMap<string, readonly Candidate[]>,
   ): Promise<void> {
-    if (nowMs >= this.nextPlanMs && this.handovers.length === 0) {
-      this.nextPlanMs = nowMs + PLAN_EVERY_MS;
+    if (nowMs >= this.nextPlanAtMs && this.handovers.length === 0) {
+      this.nextPlanAtMs = nowMs + PLAN_INTERVAL_MS;
       this.handovers = this.plan(candidates);
     }
-    if (this.handovers.length === 0 || !await this.isStoreThere()) {
+    if (this.handovers.length === 0 || !await this.isStoreReachable()) {
       return;
     }
     await this.releaseAll();
@@ -74,12 +79,12 @@
   }
 
   /**
-   * Whether the store answers right now.
+   * Whether the store responds now.
    *
-   * What goes wrong without asking: an owner releases partitions, the store is down, and nobody owns
-   * them until it is back. It shows as keys without an owner for as long as the outage lasts.
+   * Without this check, an owner could release partitions while the store is unreachable, and their keys would
+   * have no owner until the outage ends.
    */
-  private async isStoreThere(): Promise<boolean> {
+  private async isStoreReachable(): Promise<boolean> {
     return (await this.context.store.get(PLANNER_KEY)).isOk();
   }
 
@@ -106,14 +111,16 @@
     candidates: readonly Candidate[],
   ): Handover[] {
     const owned = this.ownedPartitions(service);
-    const staying = new Set(candidates.map((candidate) => candidate.session));
+    const candidateIds = new Set(
+      candidates.map((candidate) => candidate.session),
+    );
     const { fleet } = this.context;
-    const leaving = new Set(
+    const draining = new Set(
       [...new Set(owned.map((partition) => partition.owner))].filter((id) => {
         const session = fleet.session(id);
-        const drains = session?.draining === true ||
+        const isDraining = session?.draining === true ||
           fleet.state.drains.has(session?.host ?? "");
-        return session?.state === "open" && drains && !staying.has(id);
+        return session?.state === "open" && isDraining && !candidateIds.has(id);
       }),
     );
     const released = new Map(
@@ -123,26 +130,26 @@
         ) => [item.partition, Number(item.token)])
       ),
     );
-    const lost = owned.filter(({ partition, token }) =>
+    const releasedPartitions = owned.filter(({ partition, token }) =>
       released.get(partition) === token
     );
     const moves = planMoves(
-      owned.filter((partition) => !lost.includes(partition)),
+      owned.filter((partition) => !releasedPartitions.includes(partition)),
       {
         candidates,
-        leaving,
-        maximumMoves: Math.ceil(owned.length * MAXIMUM_CHURN),
+        leaving: draining,
+        maximumMoves: Math.ceil(owned.length * MAX_MOVED_SHARE),
       },
     );
-    const repairs = candidates.length === 0
+    const reassignments = candidates.length === 0
       ? []
-      : lost.map((partition, index): Move => ({
+      : releasedPartitions.map((partition, index): Move => ({
         partition: partition.partition,
         token: partition.token,
         from: partition.owner,
         to: (candidates[index % candidates.length] as Candidate).session,
       }));
-    return boundBatches([...repairs, ...moves])
+    return limitBatches([...reassignments, ...moves])
       .map((move) => ({ service, move, state: HANDOVER_CHART.initial }));
   }
 
@@ -172,15 +179,15 @@
   }
 
   private async releaseAll(): Promise<void> {
-    const waiting = this.handovers.filter((handover) =>
+    const pending = this.handovers.filter((handover) =>
       handover.state === "releasing"
     );
-    const owners = [...new Set(waiting.map(({ move }) => move.from))];
+    const owners = [...new Set(pending.map(({ move }) => move.from))];
     await Promise.all(
       owners.map((owner) =>
         this.releaseFrom(
           owner,
-          waiting.filter(({ move }) => move.from === owner),
+          pending.filter(({ move }) => move.from === owner),
         )
       ),
     );
@@ -192,7 +199,7 @@
   ): Promise<void> {
     const session = this.context.fleet.session(owner);
     if (session?.state !== "open") {
-      handovers.forEach((handover) => step(handover, "OWNER_LOST"));
+      handovers.forEach((handover) => applyEvent(handover, "OWNER_LOST"));
       return;
     }
     const assignments = handovers.map(({ service, move }) => ({
@@ -200,22 +207,24 @@
       partition: move.partition,
       token: BigInt(move.token),
     }));
-    const answer = await this.context.clients.call(session.control_address, {
+    const response = await this.context.clients.call(session.control_address, {
       step: "handover_runner.release",
       send: (client, options) =>
         client.release({ session: owner, assignments }, options),
     });
-    if (answer.isErr()) {
+    if (response.isErr()) {
       return;
     }
     const released = new Set(
-      answer.value.released.map((item) => `${item.service}/${item.partition}`),
+      response.value.released.map((item) =>
+        `${item.service}/${item.partition}`
+      ),
     );
     handovers
       .filter(({ service, move }) =>
         released.has(`${service}/${move.partition}`)
       )
-      .forEach((handover) => step(handover, "RELEASED"));
+      .forEach((handover) => applyEvent(handover, "RELEASED"));
   }
 
   private async assignReleased(): Promise<void> {
@@ -233,17 +242,17 @@
   ): Promise<void> {
     const { record } = shard;
     const end = record.first + record.owners.length;
-    const own = released.filter(({ service, move }) =>
+    const inShard = released.filter(({ service, move }) =>
       service === record.service && move.partition >= record.first &&
       move.partition < end
     );
-    // The release is for one assignment only; if the table has moved on, the handover is void.
-    const current = own.filter(({ move }) =>
+    // A release applies to one assignment only; a newer token in the table makes the handover invalid.
+    const current = inShard.filter(({ move }) =>
       record.tokens[move.partition - record.first] === move.token
     );
-    own.filter((handover) => !current.includes(handover)).forEach((handover) =>
-      step(handover, "CONFLICT")
-    );
+    inShard.filter((handover) => !current.includes(handover)).forEach((
+      handover,
+    ) => applyEvent(handover, "CONFLICT"));
     const changes = current.map(({ move }) => ({
       partition: move.partition,
       owner: move.to,
@@ -262,7 +271,7 @@
       expectedRevision: shard.revision,
     });
     if (written.isOk()) {
-      current.forEach((handover) => step(handover, "ASSIGNED"));
+      current.forEach((handover) => applyEvent(handover, "ASSIGNED"));
       const { service, first, version } = next;
       this.context.logger.log("handover_finished", {
         service,
@@ -286,7 +295,7 @@
   }
 }
 
-function step(handover: Handover, event: string): void {
+function applyEvent(handover: Handover, event: string): void {
   handover.state = HANDOVER_CHART.next(handover.state, event);
 }
 
@@ -297,11 +306,11 @@
   }`;
 }
 
-function boundBatches(moves: readonly Move[]): Move[] {
-  const taken = new Map<string, number>();
+function limitBatches(moves: readonly Move[]): Move[] {
+  const counts = new Map<string, number>();
   return moves.filter((move) => {
-    const count = taken.get(move.from) ?? 0;
-    taken.set(move.from, count + 1);
-    return count < BATCH;
+    const count = counts.get(move.from) ?? 0;
+    counts.set(move.from, count + 1);
+    return count < MAX_BATCH_PARTITIONS;
   });
 }
--- a/packages/daemon/src/planner.ts
+++ b/packages/daemon/src/planner.ts
@@ -1,8 +1,8 @@
 /**
- * The planner: takes over from lost sessions, gives partitions to owners and moves them.
+ * The planner: takes over from lost sessions, assigns partitions to owners and moves them between owners.
  *
- * Any daemon can be it. Everything it decides is written by compare-and-swap, every step can be
- * repeated, and what it knows it can learn again, so losing it delays but never breaks.
+ * Any daemon can be elected planner. It writes every decision by compare-and-swap, every step is idempotent,
+ * and its state can be rebuilt, so the loss of the planner causes a delay but never an inconsistency.
  *
  * @module
  */
@@ -40,17 +40,17 @@
 import { PlannerElection } from "./planner_election.ts";
 import { ReportRegistry } from "./report_registry.ts";
 
-/** A session that has not reported for so long is suspected, in milliseconds. */
-const UNREPORTED_MS = 15_000;
-/** A service without any owner waits so long for more sessions to start, in milliseconds. */
-const SETTLE_MS = 1_000;
-const LONGEST_SETTLE_MS = 5_000;
-/** A takeover that lacks evidence for so long is reported, in milliseconds. */
-const STUCK_MS = 3_000;
-/** Ended records that nothing refers to are deleted after so long, in milliseconds. */
-const FORGET_MS = 30_000;
-
-/** What the planner needs. */
+/** Time without a report after which a session is sealed, in milliseconds. */
+const REPORT_TIMEOUT_MS = 15_000;
+/** Minimum and maximum wait of a new service for more sessions before its first assignment, in milliseconds. */
+const MIN_STARTUP_DELAY_MS = 1_000;
+const MAX_STARTUP_DELAY_MS = 5_000;
+/** Time without the necessary evidence after which a takeover is reported to operators, in milliseconds. */
+const STUCK_TAKEOVER_DELAY_MS = 3_000;
+/** Time for which unreferenced records of ended sessions are retained, in milliseconds. */
+const ENDED_RECORD_RETENTION_MS = 30_000;
+
+/** Dependencies of the planner. */
 export interface PlannerContext {
   readonly store: Store;
   readonly fleet: Fleet;
@@ -64,17 +64,17 @@
   private readonly election: PlannerElection;
   private readonly suspicions = SuspicionLedger.create();
   private readonly reports = ReportRegistry.create();
-  private readonly round: Background;
-  private readonly firstSeenMs = new Map<string, number>();
-  private readonly endedSinceMs = new Map<string, number>();
-  private readonly stuckSinceMs = new Map<string, number>();
+  private readonly roundTask: Background;
+  private readonly firstSeenAtMs = new Map<string, number>();
+  private readonly endedAtMs = new Map<string, number>();
+  private readonly stuckAtMs = new Map<string, number>();
   private takeovers: TakeoverBook;
   private handovers: HandoverRunner;
   private electedSession: string | undefined;
 
   private constructor(private readonly context: PlannerContext) {
     this.election = PlannerElection.create(context);
-    this.round = Background.create(context.logger, "planner.round");
+    this.roundTask = Background.create(context.logger, "planner.round");
     this.takeovers = TakeoverBook.create(context.timing);
     this.handovers = this.createHandovers();
   }
@@ -90,9 +90,10 @@
   }
 
   /**
-   * One step of the control loop.
+   * Runs one step of the control loop.
    *
-   * @param session the own session if it serves.
+   * @param nowMs current time on the monotonic clock, in milliseconds.
+   * @param session id of this daemon's session if it is serving.
    */
   tick(nowMs: number, session: string | undefined): void {
     const ranked = this.context.fleet.watchers;
@@ -110,10 +111,10 @@
     if (this.electedSession !== session) {
       this.startTerm(session as string);
     }
-    this.round.start(() => this.runRound());
+    this.roundTask.start(() => this.runRound());
   }
 
-  /** Notes that a witness has not heard from sessions for too long. */
+  /** Records that a witness received no renewal from some sessions within their time-out. */
   recordSuspicions(witness: string, sessions: readonly string[]): void {
     const nowMs = monotonicMs();
     sessions.forEach((session) =>
@@ -121,13 +122,13 @@
     );
   }
 
-  /** Notes a daemon's report; returns whether this daemon is the planner. */
+  /** Records a daemon's report; returns whether this daemon is the planner. */
   recordReport(report: ReportRequest): boolean {
     this.reports.record(report, monotonicMs());
     return this.isPlanner;
   }
 
-  /** Describes the fleet for operators. */
+  /** Describes the state of the fleet for operators. */
   describeFleet(): FleetStatusResponse {
     const nowMs = monotonicMs();
     return create(FleetStatusResponseSchema, {
@@ -145,7 +146,7 @@
     });
   }
 
-  /** Gives the role up. */
+  /** Resigns as planner. */
   async close(): Promise<void> {
     await this.election.close();
   }
@@ -155,7 +156,7 @@
     this.takeovers = TakeoverBook.create(this.context.timing);
     this.handovers = this.createHandovers();
     this.reports.clear();
-    this.firstSeenMs.clear();
+    this.firstSeenAtMs.clear();
   }
 
   private createHandovers(): HandoverRunner {
@@ -173,7 +174,7 @@
     this.reportStuck(monotonicMs());
     await this.assignAll();
     await this.handovers.run(monotonicMs(), this.candidatesByService());
-    await this.tidy();
+    await this.deleteObsoleteRecords();
   }
 
   private observe(sessions: readonly SessionRecord[], nowMs: number): void {
@@ -185,11 +186,11 @@
       ),
     );
     sessions
-      .filter((session) => !this.firstSeenMs.has(session.id))
-      .forEach((session) => this.firstSeenMs.set(session.id, nowMs));
-    [...this.firstSeenMs.keys()].filter((id) => !known.has(id)).forEach((id) =>
-      this.firstSeenMs.delete(id)
-    );
+      .filter((session) => !this.firstSeenAtMs.has(session.id))
+      .forEach((session) => this.firstSeenAtMs.set(session.id, nowMs));
+    [...this.firstSeenAtMs.keys()].filter((id) => !known.has(id)).forEach((
+      id,
+    ) => this.firstSeenAtMs.delete(id));
   }
 
   private isLost(id: string, nowMs: number): boolean {
@@ -216,11 +217,11 @@
       if (replaced.has(session.id)) {
         return "its daemon restarted";
       }
-      const heardMs = this.reports.latestOf(session.id)?.receivedAtMs ??
-        this.firstSeenMs.get(session.id) ?? nowMs;
+      const lastReportAtMs = this.reports.latestOf(session.id)?.receivedAtMs ??
+        this.firstSeenAtMs.get(session.id) ?? nowMs;
       return this.isSuspected(session, nowMs)
         ? "its witnesses heard nothing from it"
-        : nowMs - heardMs > UNREPORTED_MS
+        : nowMs - lastReportAtMs > REPORT_TIMEOUT_MS
         ? "it reported nothing to the planner"
         : undefined;
     };
@@ -238,8 +239,8 @@
     if (known === undefined) {
       return;
     }
-    // What is sealed must be the very record of that revision: a seal that brought older witnesses
-    // back would have the wrong ones asked.
+    // The sealed record must be a copy of the record at the expected revision: with an older set of witnesses,
+    // the takeover would query the wrong sessions.
     const sealed: SessionRecord = {
       ...known.record,
       state: "sealed",
@@ -273,11 +274,13 @@
         this.context.fleet.session(witness)?.state === "open"
       );
     await Promise.all(
-      pending.map(([witness, sessions]) => this.askToRefuse(witness, sessions)),
+      pending.map(([witness, sessions]) =>
+        this.requestRefusals(witness, sessions)
+      ),
     );
   }
 
-  private async askToRefuse(
+  private async requestRefusals(
     witness: string,
     sessions: string[],
   ): Promise<void> {
@@ -285,28 +288,28 @@
     if (address === undefined) {
       return;
     }
-    const answer = await this.context.clients.call(address, {
+    const response = await this.context.clients.call(address, {
       step: "planner.refuse",
       send: (client, options) => client.refuse({ witness, sessions }, options),
     });
-    if (answer.isOk() && answer.value.isWitness) {
+    if (response.isOk() && response.value.isWitness) {
       const nowMs = monotonicMs();
-      answer.value.refusals.forEach(({ session, remainingMs }) =>
+      response.value.refusals.forEach(({ session, remainingMs }) =>
         this.takeovers.noteRefusal(session, { witness, remainingMs, nowMs })
       );
     }
   }
 
-  /** Tells operators once of each takeover that has lacked evidence for a while. */
+  /** Logs each takeover that has lacked evidence for `STUCK_TAKEOVER_DELAY_MS`, once. */
   private reportStuck(nowMs: number): void {
     const stuck = this.takeovers.stuck();
-    [...this.stuckSinceMs.keys()].filter((id) => !stuck.includes(id)).forEach((
+    [...this.stuckAtMs.keys()].filter((id) => !stuck.includes(id)).forEach((
       id,
-    ) => this.stuckSinceMs.delete(id));
+    ) => this.stuckAtMs.delete(id));
     stuck.forEach((id) => {
-      const sinceMs = this.stuckSinceMs.get(id) ?? nowMs;
-      const isDue = nowMs - sinceMs >= STUCK_MS;
-      this.stuckSinceMs.set(id, isDue ? Infinity : sinceMs);
+      const startedAtMs = this.stuckAtMs.get(id) ?? nowMs;
+      const isDue = nowMs - startedAtMs >= STUCK_TAKEOVER_DELAY_MS;
+      this.stuckAtMs.set(id, isDue ? Infinity : startedAtMs);
       if (isDue) {
         const host = this.context.fleet.session(id)?.host;
         this.context.logger.log("takeover_waiting", { session: id, host });
@@ -323,7 +326,7 @@
     );
   }
 
-  /** Sessions that may be given partitions: they serve now and are to stay. */
+  /** Sessions to which partitions may be assigned: serving, in an allowed availability zone and not draining. */
   private candidatesOf(service: Service): Candidate[] {
     const { fleet } = this.context;
     return fleet.sessions
@@ -354,12 +357,12 @@
     );
   }
 
-  /** Assigns what needs an owner in one service. */
+  /** Assigns the partitions of one service that need an owner. */
   private async assignService(service: Service): Promise<void> {
     const candidates = this.candidatesOf(service);
     const shards = this.shardsOf(service);
     const isNew = shards.some((shard) => shard.version === 0);
-    if (isNew && !this.hasSettled(service, candidates.length)) {
+    if (isNew && !this.isReadyForFirstAssignment(service, candidates.length)) {
       return;
     }
     if (!shards.some((shard) => this.needsOwners(shard))) {
@@ -387,20 +390,25 @@
   }
 
   /**
-   * Whether a new service may be given out: all its sessions serve, or the last one has had its time.
+   * Whether the first assignment of a new service may be made: all its sessions are serving, or the last one to
+   * appear has had the maximum time to start.
    *
-   * What goes wrong otherwise: whoever reports first is given everything, and the others get their part
-   * a hundredth at a time. It shows as one busy and several idle servers for half a minute.
+   * Without this wait, the first session to report would get all partitions, and the others would get their
+   * share in moves of one hundredth at a time: one busy and several idle servers for half a minute.
    */
-  private hasSettled(service: Service, candidates: number): boolean {
-    const seen = this.context.fleet.sessions
+  private isReadyForFirstAssignment(
+    service: Service,
+    candidateCount: number,
+  ): boolean {
+    const firstSeenTimes = this.context.fleet.sessions
       .filter((session) =>
         session.service === service.name && session.state === "open"
       )
-      .map((session) => this.firstSeenMs.get(session.id) ?? Infinity);
-    const waitedMs = monotonicMs() - Math.max(...seen);
-    return waitedMs >= SETTLE_MS &&
-      (candidates === seen.length || waitedMs >= LONGEST_SETTLE_MS);
+      .map((session) => this.firstSeenAtMs.get(session.id) ?? Infinity);
+    const waitedMs = monotonicMs() - Math.max(...firstSeenTimes);
+    return waitedMs >= MIN_STARTUP_DELAY_MS &&
+      (candidateCount === firstSeenTimes.length ||
+        waitedMs >= MAX_STARTUP_DELAY_MS);
   }
 
   private async writeShard(
@@ -453,31 +461,31 @@
     );
   }
 
-  /** Deletes ended records that nothing refers to any more. */
-  private async tidy(): Promise<void> {
+  /** Deletes records of ended sessions that no witness set and no shard refers to. */
+  private async deleteObsoleteRecords(): Promise<void> {
     const nowMs = monotonicMs();
     const { sessions, state } = this.context.fleet;
-    const referred = new Set(
+    const referenced = new Set(
       sessions.filter(({ state }) => state !== "ended").flatMap((session) =>
         session.witnesses
       ),
     );
     const ended = sessions.filter((session) => session.state === "ended");
-    ended.filter(({ id }) => !this.endedSinceMs.has(id)).forEach(({ id }) =>
-      this.endedSinceMs.set(id, nowMs)
+    ended.filter(({ id }) => !this.endedAtMs.has(id)).forEach(({ id }) =>
+      this.endedAtMs.set(id, nowMs)
     );
-    const forgettable = ended.filter(({ id }) =>
-      nowMs - (this.endedSinceMs.get(id) as number) > FORGET_MS &&
-      !referred.has(id) && !this.ownsAnything(id)
+    const obsolete = ended.filter(({ id }) =>
+      nowMs - (this.endedAtMs.get(id) as number) > ENDED_RECORD_RETENTION_MS &&
+      !referenced.has(id) && !this.ownsAnything(id)
     );
-    await Promise.all(forgettable.map(async ({ id }) => {
+    await Promise.all(obsolete.map(async ({ id }) => {
       const expectedRevision = state.sessions.get(id)?.revision ?? 0;
       await this.context.store.compareAndSwap({
         key: sessionKey(id),
         value: undefined,
         expectedRevision,
       });
-      this.endedSinceMs.delete(id);
+      this.endedAtMs.delete(id);
     }));
   }
 }
--- a/packages/daemon/src/planner_election.ts
+++ b/packages/daemon/src/planner_election.ts
@@ -1,8 +1,8 @@
 /**
- * Elects the planner by one record in the store that hangs on a lease.
+ * Elects the planner with one record in the store that is bound to a store lease.
  *
- * Two planners at a time are harmless, since everything they do is a compare-and-swap; the election
- * only keeps them from doing the work twice.
+ * Two concurrent planners are harmless, since every write is a compare-and-swap; the election only prevents
+ * duplicate work.
  *
  * @module
  */
@@ -13,24 +13,25 @@
 import { monotonicMs, wallClockMs } from "./clock.ts";
 import type { Fleet } from "./fleet.ts";
 
-/** Length of the lease in seconds, and how often it is renewed in milliseconds. */
+/** Duration of the store lease, in seconds. */
 const LEASE_SECONDS = 2;
-const RENEW_EVERY_MS = 600;
-/** Pause after a lost election, in milliseconds. */
-const RETRY_MS = 300;
+/** Time between two renewals of the store lease, in milliseconds. */
+const RENEW_INTERVAL_MS = 600;
+/** Delay before this daemon tries again to be elected, in milliseconds. */
+const ELECTION_RETRY_DELAY_MS = 300;
 
-/** The election as one daemon takes part in it. */
+/** One daemon's participation in the election. */
 export class PlannerElection {
-  private readonly working: Background;
+  private readonly electionTask: Background;
   private lease: string | undefined;
-  private elected: string | undefined;
+  private electedSession: string | undefined;
   private electedRevision = 0;
-  private nextMs = 0;
+  private nextAttemptAtMs = 0;
 
   private constructor(
     private readonly context: { store: Store; fleet: Fleet; logger: Logger },
   ) {
-    this.working = Background.create(context.logger, "planner_election");
+    this.electionTask = Background.create(context.logger, "planner_election");
   }
 
   /** Creates an election in which this daemon is not elected. */
@@ -40,16 +41,17 @@
     return new PlannerElection(context);
   }
 
-  /** Whether a session of this daemon is the planner, as far as it knows. */
+  /** Whether this daemon assumes that the given session of its own is the planner. */
   isPlanner(session: string | undefined): boolean {
-    return session !== undefined && this.elected === session;
+    return session !== undefined && this.electedSession === session;
   }
 
   /**
-   * One step of the control loop.
+   * Runs one step of the control loop.
    *
-   * @param candidate the own session if it may be the planner.
-   * @param isLost whether the session that is the planner now is known to be lost.
+   * @param nowMs current time on the monotonic clock, in milliseconds.
+   * @param options `candidate`: this daemon's session if it may be the planner; `isLost`: whether a session is
+   *   lost, called with that of the current planner.
    */
   tick(
     nowMs: number,
@@ -60,27 +62,29 @@
   ): void {
     const { candidate } = options;
     if (
-      this.elected !== undefined &&
-      (this.elected !== candidate || this.isDeposed())
+      this.electedSession !== undefined &&
+      (this.electedSession !== candidate || this.isSuperseded())
     ) {
       this.resign();
     }
-    if (nowMs < this.nextMs || candidate === undefined) {
+    if (nowMs < this.nextAttemptAtMs || candidate === undefined) {
       return;
     }
-    if (this.elected !== undefined) {
-      this.nextMs = nowMs + RENEW_EVERY_MS;
-      this.working.start(() => this.renew());
+    if (this.electedSession !== undefined) {
+      this.nextAttemptAtMs = nowMs + RENEW_INTERVAL_MS;
+      this.electionTask.start(() => this.renew());
       return;
     }
     const planner = this.context.fleet.state.planner;
     if (planner === undefined || options.isLost(planner.record.session)) {
-      this.nextMs = nowMs + RETRY_MS;
-      this.working.start(() => this.stand(candidate, planner?.revision ?? 0));
+      this.nextAttemptAtMs = nowMs + ELECTION_RETRY_DELAY_MS;
+      this.electionTask.start(() =>
+        this.campaign(candidate, planner?.revision ?? 0)
+      );
     }
   }
 
-  /** Gives the role up at once, so that another daemon need not wait for the lease. */
+  /** Resigns and revokes the store lease, so that another daemon need not wait for its expiry. */
   async close(): Promise<void> {
     const { lease } = this;
     this.resign();
@@ -89,14 +93,14 @@
     }
   }
 
-  /** Whether another daemon took the role after this one was elected. */
-  private isDeposed(): boolean {
+  /** Whether another daemon was elected after this one. */
+  private isSuperseded(): boolean {
     const planner = this.context.fleet.state.planner;
     return planner !== undefined && planner.revision > this.electedRevision &&
-      planner.record.session !== this.elected;
+      planner.record.session !== this.electedSession;
   }
 
-  private async stand(
+  private async campaign(
     candidate: string,
     expectedRevision: number,
   ): Promise<void> {
@@ -119,9 +123,9 @@
       return;
     }
     this.lease = lease.value;
-    this.elected = candidate;
+    this.electedSession = candidate;
     this.electedRevision = written.value;
-    this.nextMs = monotonicMs() + RENEW_EVERY_MS;
+    this.nextAttemptAtMs = monotonicMs() + RENEW_INTERVAL_MS;
     this.context.logger.log("planner_elected", { session: candidate });
   }
 
@@ -132,17 +136,19 @@
       return;
     }
     const renewed = await this.context.store.renewLease(lease);
-    // While the store is down nobody else can be elected either; only a lapsed lease ends the role.
+    // While the store is unreachable, no other daemon can be elected, so only an expired lease ends the role.
     if (renewed.isErr() && renewed.error.code === "not_found") {
       this.resign();
     }
   }
 
   private resign(): void {
-    if (this.elected !== undefined) {
-      this.context.logger.log("planner_resigned", { session: this.elected });
+    if (this.electedSession !== undefined) {
+      this.context.logger.log("planner_resigned", {
+        session: this.electedSession,
+      });
     }
-    this.elected = undefined;
+    this.electedSession = undefined;
     this.lease = undefined;
   }
 }
