--- a/packages/daemon/src/fleet.ts
+++ b/packages/daemon/src/fleet.ts
@@ -1,5 +1,5 @@
 /**
- * What this daemon knows of the fleet: its copy of the records and what is worked out from it.
+ * This daemon's view of the fleet: its copy of the records and the state derived from them.
  *
  * @module
  */
@@ -19,14 +19,14 @@
   View,
 } from "@bamboolink/view";
 
-/** The configuration in force, ready for use. */
+/** The configuration in force, in the form that request routing uses. */
 export interface ConfigurationInForce {
   readonly version: ConfigurationVersion;
   readonly matcher: RequestMatcher;
   readonly services: ReadonlyMap<string, Service>;
 }
 
-/** The fleet as seen from here. */
+/** This daemon's view of the fleet. */
 export class Fleet {
   private readonly view = View.create();
   private readonly listeners: (() => void)[] = [];
@@ -41,27 +41,27 @@
     this.currentState = readFleetState(this.view);
   }
 
-  /** Creates an empty one. */
+  /** Creates a view without records. */
   static create(logger: Logger): Fleet {
     return new Fleet(logger);
   }
 
-  /** The records, typed. */
+  /** The decoded records. */
   get state(): FleetState {
     return this.currentState;
   }
 
-  /** Who owns what. */
+  /** Owners of all partitions. */
   get table(): OwnershipTable {
     return this.currentTable;
   }
 
-  /** The configuration in force, if there is one yet. */
+  /** The configuration in force; `undefined` before the first valid one. */
   get configuration(): ConfigurationInForce | undefined {
     return this.inForce;
   }
 
-  /** The revision up to which the copy is complete. */
+  /** The store revision up to which the copy is complete. */
   get revision(): number {
     return this.view.revision;
   }
@@ -71,27 +71,27 @@
     return this.currentSessions;
   }
 
-  /** Sessions that watch the store, in the order in which they stand for planner. */
+  /** Sessions that watch the store and may be elected planner, in their order of preference. */
   get watchers(): readonly SessionRecord[] {
     return this.currentWatchers;
   }
 
-  /** Finds the record of one session. */
+  /** The record of a session; `undefined` if there is none. */
   session(id: string): SessionRecord | undefined {
     return this.currentState.sessions.get(id)?.record;
   }
 
-  /** Calls back after each change. */
+  /** Registers a callback for each change. */
   onChange(listener: () => void): void {
     this.listeners.push(listener);
   }
 
-  /** What a copy at an older revision needs. */
+  /** The delta that brings a copy at an older revision up to date; `undefined` if there is none. */
   deltaSince(revision: number): Delta | undefined {
     return this.view.deltaSince(revision);
   }
 
-  /** Merges a delta from the store or from another daemon. */
+  /** Merges a delta from the store or from another daemon; returns whether it was merged, old, or left a gap. */
   merge(delta: Delta): "merged" | "old" | "gap" {
     const outcome = this.view.merge(delta);
     if (outcome === "merged") {
@@ -125,7 +125,7 @@
     this.listeners.forEach((listener) => listener());
   }
 
-  /** Puts a newer configuration in force; one that can't be used leaves the last good one. */
+  /** Applies a newer configuration; if it is invalid, the last valid one stays in force. */
   private useConfiguration(): void {
     const version = this.currentState.configuration?.record.current;
     if (
--- a/packages/daemon/src/peer_service.ts
+++ b/packages/daemon/src/peer_service.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon's side of the messages between daemons.
+ * Server side of the protocol between daemons.
  *
  * @module
  */
@@ -20,13 +20,13 @@
 import type { RecordGossiper } from "./record_gossiper.ts";
 import type { SessionManager } from "./session_manager.ts";
 
-const ANSWERS = {
+const RESPONSES_BY_PROMISE = {
   promised: RenewResponse_Answer.PROMISED,
   refused: RenewResponse_Answer.REFUSED,
   not_permitted: RenewResponse_Answer.NOT_PERMITTED,
 } as const;
 
-/** What the service needs. */
+/** Dependencies of the service. */
 export interface PeerServiceContext {
   readonly fleet: Fleet;
   readonly sessionManager: SessionManager;
@@ -34,14 +34,14 @@
   readonly planner: Planner;
 }
 
-/** Makes the routes of the service. */
+/** Creates the routes of the service. */
 export function createPeerRoutes(
   context: PeerServiceContext,
 ): (router: ConnectRouter) => void {
   const { fleet, sessionManager, gossiper, planner } = context;
-  const witnessNamed = (id: string) => {
+  const findLocalWitness = (id: string) => {
     const session = sessionManager.current;
-    // A restarted daemon is a new session: it has forgotten whom the old one refused.
+    // A restarted daemon has a new session, which no longer knows which renewals the previous one refused.
     return session !== undefined && session.id === id &&
         session.state !== "sealed"
       ? session
@@ -51,19 +51,19 @@
     router.service(Peer, {
       renew: async function* (requests) {
         for await (const { session: holder, witness, number } of requests) {
-          const session = witnessNamed(witness);
+          const session = findLocalWitness(witness);
           const at = {
             nowMs: monotonicMs(),
             validUntilMs: session?.validUntilMs ?? -Infinity,
           };
           const answer = session === undefined
             ? RenewResponse_Answer.NOT_THE_WITNESS
-            : ANSWERS[session.ledger.renew(holder, at)];
+            : RESPONSES_BY_PROMISE[session.ledger.renew(holder, at)];
           yield { answer, number };
         }
       },
       refuse: (request) => {
-        const session = witnessNamed(request.witness);
+        const session = findLocalWitness(request.witness);
         const refusals = session === undefined
           ? []
           : request.sessions.map((id) => ({
@@ -79,12 +79,12 @@
         if (request.delta !== undefined) {
           fleet.merge(fromWireDelta(request.delta));
         }
-        const theirs = Number(request.revision);
+        const peerRevision = Number(request.revision);
         const address = fleet.session(request.session)?.control_address;
         if (address !== undefined) {
-          gossiper.recordPeerRevision(address, theirs);
+          gossiper.recordPeerRevision(address, peerRevision);
         }
-        const delta = fleet.deltaSince(theirs);
+        const delta = fleet.deltaSince(peerRevision);
         return create(ExchangeResponseSchema, {
           revision: BigInt(fleet.revision),
           ...(delta === undefined ? {} : { delta: toWireDelta(delta) }),
--- a/packages/daemon/src/record_gossiper.ts
+++ b/packages/daemon/src/record_gossiper.ts
@@ -1,8 +1,8 @@
 /**
- * Spreads records between daemons: at once to a few neighbours when something is new, and by comparing
- * revisions with one of them now and then, for whatever was missed.
+ * Gossips records between daemons: new records are pushed to a few neighbours immediately, and revisions are
+ * compared with one neighbour periodically, to repair missed updates.
  *
- * The cost for one daemon does not depend on the size of the fleet.
+ * The cost per daemon does not depend on the size of the fleet.
  *
  * @module
  */
@@ -18,18 +18,18 @@
 import type { PeerClients } from "./peer_clients.ts";
 import type { Randomness } from "./randomness.ts";
 
-/** How many neighbours hear of news from one daemon. */
+/** Number of neighbours to which one daemon pushes updates. */
 export const NEIGHBOUR_COUNT = 6;
-/** How often revisions are compared with a neighbour, in milliseconds. */
-const COMPARE_EVERY_MS = 1_000;
+/** Average time between two comparisons of revisions with a neighbour, in milliseconds. */
+const COMPARE_INTERVAL_MS = 1_000;
 
-/** Spreads the records of one daemon. */
+/** Gossips the records of one daemon. */
 export class RecordGossiper {
-  private readonly comparing: Background;
-  /** How far each neighbour's copy is known to be complete. */
+  private readonly compareTask: Background;
+  /** Revision up to which each neighbour's copy is known to be complete, by control address. */
   private readonly peerRevisions = new Map<string, number>();
-  private readonly pushing = new Set<string>();
-  private nextCompareMs = 0;
+  private readonly pendingPushes = new Set<string>();
+  private nextCompareAtMs = 0;
 
   private constructor(
     private readonly context: {
@@ -39,51 +39,57 @@
       randomness: Randomness;
       /** Control addresses of the neighbours. */
       neighbours: () => readonly string[];
-      /** Identity of the own session, for logs of the peer. */
+      /** Id of this daemon's session, by which the peer finds the sender's address. */
       sessionId: () => string;
     },
   ) {
-    this.comparing = Background.create(
+    this.compareTask = Background.create(
       context.logger,
       "record_spreader.compare",
     );
   }
 
-  /** Creates a spreader. */
+  /** Creates a gossiper. */
   static create(context: RecordGossiper["context"]): RecordGossiper {
     return new RecordGossiper(context);
   }
 
-  /** One step of the control loop. */
+  /**
+   * Runs one step of the control loop.
+   *
+   * @param nowMs current time on the monotonic clock, in milliseconds.
+   */
   tick(nowMs: number): void {
-    if (nowMs < this.nextCompareMs) {
+    if (nowMs < this.nextCompareAtMs) {
       return;
     }
-    this.nextCompareMs = nowMs +
-      COMPARE_EVERY_MS * (0.75 + this.context.randomness.next() / 2);
+    this.nextCompareAtMs = nowMs +
+      COMPARE_INTERVAL_MS * (0.75 + this.context.randomness.next() / 2);
     const neighbours = this.context.neighbours();
     const chosen = neighbours[
       Math.floor(this.context.randomness.next() * neighbours.length)
     ];
     if (chosen !== undefined) {
-      this.comparing.start(() => this.exchange(chosen));
+      this.compareTask.start(() => this.exchange(chosen));
     }
   }
 
-  /** Tells the neighbours of news. */
+  /** Pushes updates to the neighbours that are not known to have them. */
   push(): void {
     this.context.neighbours()
       .filter((address) =>
         (this.peerRevisions.get(address) ?? 0) < this.context.fleet.revision
       )
-      .filter((address) => !this.pushing.has(address))
+      .filter((address) => !this.pendingPushes.has(address))
       .forEach((address) => {
-        this.pushing.add(address);
-        void this.exchange(address).finally(() => this.pushing.delete(address));
+        this.pendingPushes.add(address);
+        void this.exchange(address).finally(() =>
+          this.pendingPushes.delete(address)
+        );
       });
   }
 
-  /** Notes how far a neighbour is, from a message of its own. */
+  /** Records the revision that a neighbour reported in a request. */
   recordPeerRevision(address: string, revision: number): void {
     this.peerRevisions.set(
       address,
@@ -91,41 +97,46 @@
     );
   }
 
-  /** Brings both copies to the same revision: one message if the guess of the peer's was right. */
+  /** Brings both copies to the same revision, with one request if the peer's revision was assumed correctly. */
   private async exchange(address: string): Promise<void> {
-    const theirs = await this.send(address, this.peerRevisions.get(address));
-    if (theirs !== undefined && theirs < this.context.fleet.revision) {
-      await this.send(address, theirs);
+    const peerRevision = await this.send(
+      address,
+      this.peerRevisions.get(address),
+    );
+    if (
+      peerRevision !== undefined && peerRevision < this.context.fleet.revision
+    ) {
+      await this.send(address, peerRevision);
     }
   }
 
   private async send(
     address: string,
-    theirRevision: number | undefined,
+    assumedRevision: number | undefined,
   ): Promise<number | undefined> {
     const { fleet, clients } = this.context;
-    const delta = theirRevision === undefined
+    const delta = assumedRevision === undefined
       ? undefined
-      : fleet.deltaSince(theirRevision);
+      : fleet.deltaSince(assumedRevision);
     const request = create(ExchangeRequestSchema, {
       session: this.context.sessionId(),
       revision: BigInt(fleet.revision),
       ...(delta === undefined ? {} : { delta: toWireDelta(delta) }),
     });
-    const answer = await clients.call(address, {
+    const response = await clients.call(address, {
       step: "record_spreader.exchange",
       send: (client, options) => client.exchange(request, options),
     });
-    if (answer.isErr()) {
-      this.context.logger.log("peer_unreachable", { cause: answer.error });
+    if (response.isErr()) {
+      this.context.logger.log("peer_unreachable", { cause: response.error });
       this.peerRevisions.delete(address);
       return undefined;
     }
-    if (answer.value.delta !== undefined) {
-      fleet.merge(fromWireDelta(answer.value.delta));
+    if (response.value.delta !== undefined) {
+      fleet.merge(fromWireDelta(response.value.delta));
     }
-    const theirs = Number(answer.value.revision);
-    this.peerRevisions.set(address, theirs);
-    return theirs;
+    const peerRevision = Number(response.value.revision);
+    this.peerRevisions.set(address, peerRevision);
+    return peerRevision;
   }
 }
--- a/packages/daemon/src/report_registry.ts
+++ b/packages/daemon/src/report_registry.ts
@@ -1,50 +1,50 @@
 /**
- * What the daemons reported to the planner.
+ * Reports that daemons sent to the planner.
  *
  * @module
  */
 import type { ReportRequest } from "@bamboolink/protocol";
 
-/** A report and when it came, on the planner's monotonic clock. */
+/** A report and when it was received, in milliseconds on the planner's monotonic clock. */
 export interface ReceivedReport {
   readonly report: ReportRequest;
   readonly receivedAtMs: number;
 }
 
-/** The latest report of each session. */
+/** Stores the latest report of each session. */
 export class ReportRegistry {
   private readonly entries = new Map<string, ReceivedReport>();
 
   private constructor() {}
 
-  /** Creates an empty board. */
+  /** Creates an empty registry. */
   static create(): ReportRegistry {
     return new ReportRegistry();
   }
 
-  /** Notes a report. */
+  /** Replaces the session's earlier report. */
   record(report: ReportRequest, receivedAtMs: number): void {
     this.entries.set(report.session, { report, receivedAtMs });
   }
 
-  /** The latest report of a session. */
+  /** The latest report of a session; `undefined` if there is none. */
   latestOf(session: string): ReceivedReport | undefined {
     return this.entries.get(session);
   }
 
-  /** All latest reports. */
+  /** The latest reports of all sessions. */
   all(): ReceivedReport[] {
     return [...this.entries.values()];
   }
 
-  /** Forgets sessions that are not open any more. */
+  /** Removes the reports of all sessions other than the given open ones. */
   retain(open: ReadonlySet<string>): void {
     [...this.entries.keys()].filter((id) => !open.has(id)).forEach((id) =>
       this.entries.delete(id)
     );
   }
 
-  /** Forgets everything, when the role of planner ends. */
+  /** Removes all reports, at the start of a planner's term. */
   clear(): void {
     this.entries.clear();
   }
--- a/packages/daemon/src/reporter.ts
+++ b/packages/daemon/src/reporter.ts
@@ -1,5 +1,5 @@
 /**
- * Tells the planner how this daemon is, and which sessions fell silent.
+ * Reports this daemon's status, and sessions that became unresponsive, to the planner.
  *
  * @module
  */
@@ -11,28 +11,28 @@
 import type { LocalSession } from "./local_session.ts";
 import type { PeerClients } from "./peer_clients.ts";
 
-/** How often a report is sent when nothing changes, in milliseconds. */
-const REPORT_EVERY_MS = 5_000;
-/** The pause before a report is repeated that did not arrive, in milliseconds. */
-const REPEAT_MS = 250;
-/** How long after its last promise ran out a session is called silent, in milliseconds. */
-const SILENT_MS = 100;
-/** How often silent sessions are reported, in milliseconds. */
-const SUSPECT_EVERY_MS = 200;
+/** Time between two reports while nothing changes, in milliseconds. */
+const REPORT_INTERVAL_MS = 5_000;
+/** Delay before a failed report is retried, in milliseconds. */
+const REPORT_RETRY_DELAY_MS = 250;
+/** Time after the expiry of its last promise at which a session counts as unresponsive, in milliseconds. */
+const UNRESPONSIVE_DELAY_MS = 100;
+/** Time between two reports of unresponsive sessions, in milliseconds. */
+const SUSPECT_INTERVAL_MS = 200;
 
-/** How the daemon is, beside what the fleet's records say. */
+/** Numbers of running and queued requests of the daemon. */
 export interface RequestCounts {
   readonly running: number;
   readonly waiting: number;
 }
 
-/** Reports of one daemon. */
+/** Sends the reports of one daemon. */
 export class Reporter {
-  private readonly reporting: Background;
-  private readonly suspecting: Background;
-  private nextReportMs = 0;
-  private nextSuspectMs = 0;
-  private lastReported = "";
+  private readonly reportTask: Background;
+  private readonly suspectTask: Background;
+  private nextReportAtMs = 0;
+  private nextSuspectAtMs = 0;
+  private lastReportedSummary = "";
 
   private constructor(
     private readonly context: {
@@ -42,8 +42,8 @@
       requestCounts: () => RequestCounts;
     },
   ) {
-    this.reporting = Background.create(context.logger, "reporter.report");
-    this.suspecting = Background.create(context.logger, "reporter.suspect");
+    this.reportTask = Background.create(context.logger, "reporter.report");
+    this.suspectTask = Background.create(context.logger, "reporter.suspect");
   }
 
   /** Creates a reporter. */
@@ -51,36 +51,43 @@
     return new Reporter(context);
   }
 
-  /** One step of the control loop. */
+  /**
+   * Runs one step of the control loop.
+   *
+   * @param nowMs current time on the monotonic clock, in milliseconds.
+   * @param session this daemon's current session, if any.
+   */
   tick(nowMs: number, session: LocalSession | undefined): void {
     if (session === undefined) {
       return;
     }
-    this.reportSilent(nowMs, session);
+    this.reportUnresponsive(nowMs, session);
     const planner = this.context.fleet.state.planner?.record.session;
     const serving = session.state === "serving";
     const version = this.context.fleet.configuration?.version.version ?? 0;
     const summary = `${planner} ${session.id} ${serving} ${version}`;
     if (
       planner === undefined ||
-      (summary === this.lastReported && nowMs < this.nextReportMs)
+      (summary === this.lastReportedSummary && nowMs < this.nextReportAtMs)
     ) {
       return;
     }
-    if (nowMs < this.nextReportMs - REPORT_EVERY_MS + REPEAT_MS) {
+    if (
+      nowMs < this.nextReportAtMs - REPORT_INTERVAL_MS + REPORT_RETRY_DELAY_MS
+    ) {
       return;
     }
-    this.nextReportMs = nowMs + REPORT_EVERY_MS;
-    this.reporting.start(async () => {
+    this.nextReportAtMs = nowMs + REPORT_INTERVAL_MS;
+    this.reportTask.start(async () => {
       const reported = await this.report(
         planner,
-        this.makeReport(session, version),
+        this.createReport(session, version),
       );
-      this.lastReported = reported ? summary : "";
+      this.lastReportedSummary = reported ? summary : "";
     });
   }
 
-  private makeReport(session: LocalSession, version: number): ReportRequest {
+  private createReport(session: LocalSession, version: number): ReportRequest {
     const { running, waiting } = this.context.requestCounts();
     return create(ReportRequestSchema, {
       session: session.id,
@@ -93,17 +100,17 @@
     });
   }
 
-  /** Given up for a handover that its planner did not finish; the next planner finishes it. */
+  /** Assignments released for handovers that their planner did not complete; the next planner completes them. */
   private releasedAssignments(session: LocalSession) {
     return this.context.fleet.state.shards.flatMap(({ record }) => {
-      const own = record.sessions.indexOf(session.id);
-      return own < 0 ? [] : record.owners.flatMap((owner, index) => {
+      const ownIndex = record.sessions.indexOf(session.id);
+      return ownIndex < 0 ? [] : record.owners.flatMap((owner, index) => {
         const id = {
           service: record.service,
           partition: record.first + index,
           token: record.tokens[index] ?? 0,
         };
-        return owner === own && session.releases.isReleased(id)
+        return owner === ownIndex && session.releases.isReleased(id)
           ? [{ ...id, token: BigInt(id.token) }]
           : [];
       });
@@ -118,40 +125,40 @@
     if (address === undefined) {
       return false;
     }
-    const answer = await this.context.clients.call(address, {
+    const response = await this.context.clients.call(address, {
       step: "reporter.report",
       send: (client, options) => client.report(report, options),
     });
-    return answer.isOk() && answer.value.isPlanner;
+    return response.isOk() && response.value.isPlanner;
   }
 
-  private reportSilent(nowMs: number, session: LocalSession): void {
+  private reportUnresponsive(nowMs: number, session: LocalSession): void {
     session.ledger.noteStep(nowMs);
-    if (nowMs < this.nextSuspectMs) {
+    if (nowMs < this.nextSuspectAtMs) {
       return;
     }
-    this.nextSuspectMs = nowMs + SUSPECT_EVERY_MS;
+    this.nextSuspectAtMs = nowMs + SUSPECT_INTERVAL_MS;
     const { fleet } = this.context;
-    const silent = session.ledger.findSilent(nowMs, SILENT_MS)
+    const unresponsive = session.ledger.findSilent(nowMs, UNRESPONSIVE_DELAY_MS)
       .map((entry) => entry.session)
       .filter((id) =>
         fleet.session(id)?.state === "open" &&
         fleet.session(id)?.witnesses.includes(session.id)
       );
-    if (silent.length > 0) {
-      this.suspecting.start(() => this.suspect(session.id, silent));
+    if (unresponsive.length > 0) {
+      this.suspectTask.start(() => this.suspect(session.id, unresponsive));
     }
   }
 
-  /** Tells the planner, and whoever may have to replace it. */
+  /** Reports suspected sessions to the planner, or to all its candidates if it is unknown or itself suspected. */
   private async suspect(witness: string, sessions: string[]): Promise<void> {
     const { fleet, clients } = this.context;
     const candidates = fleet.watchers.map((session) => session.id);
     const planner = fleet.state.planner?.record.session;
-    const receivers = planner !== undefined && !sessions.includes(planner)
+    const recipients = planner !== undefined && !sessions.includes(planner)
       ? [planner]
       : candidates;
-    const addresses = receivers.flatMap((id) =>
+    const addresses = recipients.flatMap((id) =>
       fleet.session(id)?.control_address ?? []
     );
     await Promise.all(addresses.map((address) =>
--- a/packages/daemon/src/store_follower.ts
+++ b/packages/daemon/src/store_follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the store, if this daemon is one of those that do, and feeds what it sees into the fleet's
- * copy of the records.
+ * Watches the store, if this daemon is one of those that do, and merges the changes into its copy of the fleet's
+ * records.
  *
  * @module
  */
@@ -13,15 +13,15 @@
 import type { Fleet } from "./fleet.ts";
 import type { Randomness } from "./randomness.ts";
 
-/** The first pause after a failure, in milliseconds; later ones grow. */
-const FIRST_PAUSE_MS = 100;
+/** Base of the exponential backoff after a failure, in milliseconds. */
+const BASE_BACKOFF_MS = 100;
 
-/** Lists the store once and then watches it. */
+/** Lists the records of the store once and then watches it. */
 export class StoreFollower {
-  private readonly listing: Background;
+  private readonly listTask: Background;
   private watch: Watch | undefined;
-  /** The revision up to which the watch has been heard; 0 asks for a new listing. */
-  private heardUpTo = 0;
+  /** The revision up to which changes were received; 0 if a new listing is necessary. */
+  private watchedRevision = 0;
   private failures = 0;
   private resumeAtMs = 0;
 
@@ -33,10 +33,10 @@
       randomness: Randomness;
     },
   ) {
-    this.listing = Background.create(context.logger, "store_follower.list");
+    this.listTask = Background.create(context.logger, "store_follower.list");
   }
 
-  /** Creates a follower that does not follow yet. */
+  /** Creates a follower that is not watching yet. */
   static create(
     context: {
       store: Store;
@@ -48,37 +48,42 @@
     return new StoreFollower(context);
   }
 
-  /** Whether the store answered last time. */
+  /** Whether the last request to the store succeeded. */
   get isStoreReachable(): boolean {
     return this.failures === 0;
   }
 
-  /** One step of the control loop. */
+  /**
+   * Runs one step of the control loop.
+   *
+   * @param nowMs current time on the monotonic clock, in milliseconds.
+   * @param shouldFollow whether this daemon should watch the store.
+   */
   tick(nowMs: number, shouldFollow: boolean): void {
     if (!shouldFollow) {
       this.stop();
       return;
     }
     if (this.watch === undefined && nowMs >= this.resumeAtMs) {
-      this.listing.start(() => this.begin());
+      this.listTask.start(() => this.startWatch());
     }
   }
 
-  /** Stops following. */
+  /** Stops the watch. */
   stop(): void {
     this.watch?.stop();
     this.watch = undefined;
   }
 
-  private async begin(): Promise<void> {
-    if (this.heardUpTo === 0 && !await this.list()) {
+  private async startWatch(): Promise<void> {
+    if (this.watchedRevision === 0 && !await this.list()) {
       return;
     }
     this.watch = this.context.store.watch(KEY_PREFIX, {
-      fromRevision: this.heardUpTo + 1,
+      fromRevision: this.watchedRevision + 1,
       handler: {
-        onChanges: (changes) => this.takeChanges(changes),
-        onEnd: (error) => this.endWatch(error),
+        onChanges: (changes) => this.applyChanges(changes),
+        onEnd: (error) => this.handleWatchEnd(error),
       },
     });
   }
@@ -86,61 +91,67 @@
   private async list(): Promise<boolean> {
     const listing = await this.context.store.list(KEY_PREFIX);
     if (listing.isErr()) {
-      this.noteFailure(listing.error);
+      this.recordFailure(listing.error);
       return false;
     }
     const { records, revision } = listing.value;
     if (revision < this.context.fleet.revision) {
       const seen = this.context.fleet.revision;
       this.context.logger.log("store_went_back", { revision, seen });
-      this.noteFailure(new Error("the store went back"));
+      this.recordFailure(
+        new Error("the store was restored from an older snapshot"),
+      );
       return false;
     }
     this.context.fleet.merge({ from: 0, to: revision, records });
-    this.heardUpTo = revision;
-    this.noteSuccess();
+    this.watchedRevision = revision;
+    this.recordSuccess();
     return true;
   }
 
-  private takeChanges(
+  private applyChanges(
     changes: readonly {
       key: string;
       value: string | undefined;
       revision: number;
     }[],
   ): void {
-    this.noteSuccess();
+    this.recordSuccess();
     const to = changes.at(-1)?.revision;
     if (to === undefined) {
       return;
     }
-    // The copy may be further on already, from another daemon; it is never less far than the watch.
-    this.context.fleet.merge({ from: this.heardUpTo, to, records: changes });
-    this.heardUpTo = to;
+    // The copy may already be at a later revision, received from another daemon, but never at an earlier one.
+    this.context.fleet.merge({
+      from: this.watchedRevision,
+      to,
+      records: changes,
+    });
+    this.watchedRevision = to;
   }
 
-  private endWatch(error: { code: string }): void {
+  private handleWatchEnd(error: { code: string }): void {
     this.watch = undefined;
     if (error.code === "not_found") {
-      this.heardUpTo = 0;
+      this.watchedRevision = 0;
       this.context.logger.log("view_reset", { cause: error });
     }
-    this.noteFailure(error);
+    this.recordFailure(error);
   }
 
-  private noteFailure(cause: unknown): void {
+  private recordFailure(cause: unknown): void {
     if (this.failures === 0) {
       this.context.logger.log("store_unreachable", { cause });
     }
     this.failures = Math.min(this.failures + 1, 6);
     const pauseMs = backoffMs(this.failures, {
-      baseMs: FIRST_PAUSE_MS,
+      baseMs: BASE_BACKOFF_MS,
       random: this.context.randomness.next(),
     });
     this.resumeAtMs = monotonicMs() + pauseMs;
   }
 
-  private noteSuccess(): void {
+  private recordSuccess(): void {
     if (this.failures > 0) {
       this.context.logger.log("store_reachable");
     }
