--- a/packages/operator/src/command_line.ts
+++ b/packages/operator/src/command_line.ts
@@ -13,7 +13,7 @@
 } from "./configuration_commands.ts";
 import { DeclareLost, Drain, Owner, Status } from "./fleet_commands.ts";
 
-/** Creates the command line. */
+/** Creates the command line with all its commands. */
 export function createCommandLine(): Cli {
   const cli = new Cli({
     binaryLabel: "bamboolink",
--- a/packages/operator/src/configuration_commands.ts
+++ b/packages/operator/src/configuration_commands.ts
@@ -31,8 +31,8 @@
   StoreCommand,
 } from "./operator_command.ts";
 
-/** How often `apply --wait` asks the planner, in milliseconds. */
-const POLL_MS = 200;
+/** Time between two status requests of `apply --wait` to the planner, in milliseconds. */
+const POLL_INTERVAL_MS = 200;
 
 interface StoredConfiguration {
   readonly record: ConfigurationRecord | undefined;
@@ -69,7 +69,7 @@
       : err(
         BamboolinkError.create(
           "invalid",
-          `the record in the store is not valid: ${parsed.error.message}`,
+          `the configuration record in the store is invalid: ${parsed.error.message}`,
           {
             step: "configuration.read",
           },
@@ -79,12 +79,12 @@
 }
 
 function describeChanges(changes: readonly Change[]): string[] {
-  const write = (value: unknown) =>
+  const format = (value: unknown) =>
     value === undefined ? "(none)" : JSON.stringify(value);
   return changes.length === 0
     ? ["no difference"]
     : changes.map((change) =>
-      `${change.path}: ${write(change.before)} -> ${write(change.after)}`
+      `${change.path}: ${format(change.before)} -> ${format(change.after)}`
     );
 }
 
@@ -96,10 +96,10 @@
   const found = version === undefined
     ? all[0]
     : all.find((entry) => entry.version === version);
-  const kept = all.map((entry) => entry.version).join(", ");
+  const retainedVersions = all.map((entry) => entry.version).join(", ");
   const message = all.length === 0
     ? "there is no configuration yet"
-    : `version ${version} is not kept; kept: ${kept}`;
+    : `version ${version} is not retained; retained versions: ${retainedVersions}`;
   return found === undefined
     ? err(
       BamboolinkError.create("not_found", message, {
@@ -116,7 +116,7 @@
   if (text === undefined) {
     return ok(undefined);
   }
-  const message = `setting ${flag}: expected a version number; it is ${
+  const message = `setting ${flag}: expected a version number, got ${
     JSON.stringify(text)
   }`;
   return /^\d+$/.test(text) ? ok(Number(text)) : err(
@@ -150,7 +150,7 @@
     category: "Configuration",
     description: "Put a document in force.",
     details:
-      "The document is accepted whole or refused whole. If somebody else applied one since the version named by --expect, nothing is written and what changed is told.",
+      "The document is accepted or rejected as a whole. If another version was applied after the one given by --expect, nothing is written and the error lists the changes since.",
     examples: [
       [
         "Apply on top of version 7 and wait until it is in force everywhere",
@@ -164,14 +164,16 @@
       "The version the change starts from; by default the one in force now.",
   });
   author = Option.String("--author", defaultAuthor(), {
-    description: "Who applies it.",
+    description: "Author to record with the version.",
+  });
+  note = Option.String("--note", "", {
+    description: "Note to record with the version.",
   });
-  note = Option.String("--note", "", { description: "What it is for." });
   wait = Option.Boolean("--wait", false, {
-    description: "Return when every living daemon reports the version.",
+    description: "Wait until every daemon reports the version as in force.",
   });
   timeout = Option.String("--timeout-ms", "10000", {
-    description: "How long --wait waits.",
+    description: "Timeout of --wait, in milliseconds.",
   });
 
   protected override async runWith(
@@ -213,10 +215,10 @@
       stored.value.record?.current.document,
       document.value,
     );
-    const reached = this.wait
+    const outcome = this.wait
       ? await this.waitForAll(store, version)
       : ok(undefined);
-    return reached.map((daemons) => ({
+    return outcome.map((daemons) => ({
       lines: [
         `version ${version} is accepted`,
         ...(daemons === undefined ? [] : [`in force at ${daemons} daemons`]),
@@ -226,7 +228,10 @@
     }));
   }
 
-  /** Writes and settles a lost answer by looking for the attempt in the record and its history. */
+  /**
+   * Writes the record. If the store's response is lost, finds out whether the write took effect by searching the
+   * record and its history for the attempt's id.
+   */
   private async write(
     store: Store,
     change: { next: ConfigurationRecord; revision: number; attempt: string },
@@ -239,13 +244,13 @@
     if (written.isOk() || written.error.code !== "conflict") {
       return written;
     }
-    const now = await readStored(store);
-    const current = now.isOk() ? now.value.record?.current : undefined;
+    const latest = await readStored(store);
+    const current = latest.isOk() ? latest.value.record?.current : undefined;
     const by = current === undefined
       ? ""
       : `; version ${current.version} by ${current.author} is in force now`;
     const message =
-      `somebody else applied a configuration first${by}; see \`bamboolink config diff\``;
+      `another configuration was applied first${by}; see \`bamboolink config diff\``;
     return err(
       BamboolinkError.create("conflict", message, {
         step: "configuration.apply",
@@ -257,26 +262,26 @@
     store: Store,
     version: number,
   ): Promise<Result<number, BamboolinkError>> {
-    const until = Date.now() + Number(this.timeout);
-    let behind: string[] = [];
-    while (Date.now() < until) {
+    const deadlineMs = Date.now() + Number(this.timeout);
+    let outdatedHosts: string[] = [];
+    while (Date.now() < deadlineMs) {
       const fleet = await readFleet(store);
       const status = fleet.isOk()
         ? await readFleetStatus(fleet.value)
         : err(fleet.error);
       if (status.isOk()) {
-        behind = status.value.filter((daemon) =>
+        outdatedHosts = status.value.filter((daemon) =>
           daemon.configurationVersion < version
         ).map((daemon) => daemon.host);
-        if (behind.length === 0) {
+        if (outdatedHosts.length === 0) {
           return ok(status.value.length);
         }
       }
-      await sleep(POLL_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
     const message =
-      `version ${version} is accepted, but was not reported in time by: ${
-        behind.join(", ") || "the planner"
+      `version ${version} is accepted, but these did not report it within the timeout: ${
+        outdatedHosts.join(", ") || "the planner"
       }`;
     return err(
       BamboolinkError.create("timeout", message, {
@@ -299,16 +304,18 @@
   protected override async runWith(
     store: Store,
   ): Promise<Result<Output, BamboolinkError>> {
-    const wanted = parseVersion(this.version, "--version");
+    const requestedVersion = parseVersion(this.version, "--version");
     const stored = await readStored(store);
-    if (wanted.isErr() || stored.isErr()) {
+    if (requestedVersion.isErr() || stored.isErr()) {
       return err(
-        wanted.isErr()
-          ? wanted.error
+        requestedVersion.isErr()
+          ? requestedVersion.error
           : (stored as { error: BamboolinkError }).error,
       );
     }
-    return findVersion(stored.value.record, wanted.value).map((version) => ({
+    return findVersion(stored.value.record, requestedVersion.value).map((
+      version,
+    ) => ({
       lines: [JSON.stringify(version.document, null, 2)],
       data: version,
     }));
@@ -320,7 +327,7 @@
   static override paths = [["config", "history"]];
   static override usage = Command.Usage({
     category: "Configuration",
-    description: "List the versions that are kept, newest first.",
+    description: "List the retained versions, newest first.",
   });
 
   protected override async runWith(
@@ -375,21 +382,25 @@
     store: Store,
   ): Promise<Result<Output, BamboolinkError>> {
     const stored = await readStored(store);
-    const numbers = [
+    const versionNumbers = [
       parseVersion(this.from, "--from"),
       parseVersion(this.to, "--to"),
     ] as const;
-    if (stored.isErr() || numbers[0].isErr() || numbers[1].isErr()) {
+    if (
+      stored.isErr() || versionNumbers[0].isErr() || versionNumbers[1].isErr()
+    ) {
       return err(
-        [stored, ...numbers].flatMap((part) =>
+        [stored, ...versionNumbers].flatMap((part) =>
           part.isErr() ? [part.error] : []
         )[0] as BamboolinkError,
       );
     }
     const { record } = stored.value;
-    const before = findVersion(record, numbers[0].value);
+    const before = findVersion(record, versionNumbers[0].value);
     const after = this.file === undefined
-      ? findVersion(record, numbers[1].value).map((version) => version.document)
+      ? findVersion(record, versionNumbers[1].value).map((version) =>
+        version.document
+      )
       : await readValidDocument(this.file);
     if (before.isErr() || after.isErr()) {
       return err(
--- a/packages/operator/src/exit_codes.ts
+++ b/packages/operator/src/exit_codes.ts
@@ -1,5 +1,5 @@
 /**
- * Exit codes of the operators' command line. Scripts may depend on them.
+ * Exit codes of the command line. They are a stable interface for scripts.
  *
  * @module
  */
@@ -16,7 +16,7 @@
   timeout: 6,
 } as const;
 
-const BY_CODE: Partial<Record<ErrorCode, number>> = {
+const EXIT_CODE_BY_ERROR: Partial<Record<ErrorCode, number>> = {
   invalid: EXIT_CODES.invalid,
   not_found: EXIT_CODES.invalid,
   refused: EXIT_CODES.invalid,
@@ -28,5 +28,5 @@
 
 /** The exit code of an error. */
 export function exitCodeOf(error: BamboolinkError): number {
-  return BY_CODE[error.code] ?? EXIT_CODES.failed;
+  return EXIT_CODE_BY_ERROR[error.code] ?? EXIT_CODES.failed;
 }
--- a/packages/operator/src/fleet_commands.ts
+++ b/packages/operator/src/fleet_commands.ts
@@ -94,9 +94,9 @@
   static override usage = Command.Usage({
     category: "Fleet",
     description:
-      "Tell who owns a key, since when, by which assignment, and why.",
+      "Show the owner of a key, since when, by which assignment, and why.",
     examples: [[
-      "Who owns part BC547",
+      "Show the owner of part BC547",
       "bamboolink owner BC547 --service quote-desk",
     ]],
   });
@@ -127,7 +127,7 @@
       fleet.shards.map((shard) => shard.record),
     );
     const owners = services.map((service) =>
-      explainOwner(table.find(this.key, service), {
+      describeOwner(table.find(this.key, service), {
         service: service.name,
         fleet,
       })
@@ -139,7 +139,7 @@
   }
 }
 
-function explainOwner(
+function describeOwner(
   assignment: Assignment | undefined,
   context: { service: string; fleet: FleetState },
 ): { line: string; data: unknown } {
@@ -156,7 +156,7 @@
   const change = shard?.changes.find((entry) => entry.version === token);
   const record = fleet.sessions.get(session)?.record;
   const since = change === undefined
-    ? "before the kept history"
+    ? "before the retained history"
     : new Date(change.at_ms).toISOString();
   const why = change?.reason ?? "not kept";
   const host = record?.host ?? session;
@@ -184,18 +184,18 @@
   static override paths = [["drain"]];
   static override usage = Command.Usage({
     category: "Fleet",
-    description: "Move all keys away from a host, or let it own keys again.",
-    examples: [["Empty a host before maintenance", "bamboolink drain a-1"], [
-      "Use it again",
+    description: "Drain all keys from a host, or allow it to own keys again.",
+    examples: [["Drain a host before maintenance", "bamboolink drain a-1"], [
+      "Allow it to own keys again",
       "bamboolink drain a-1 --undo",
     ]],
   });
   host = Option.String({ name: "HOST" });
   undo = Option.Boolean("--undo", false, {
-    description: "Let the host own keys again.",
+    description: "Allow the host to own keys again.",
   });
   author = Option.String("--author", defaultAuthor(), {
-    description: "Who asks.",
+    description: "Author to record with the request.",
   });
 
   protected override async runOn(
@@ -219,15 +219,15 @@
     };
     const expectedRevision = drains.get(this.host)?.revision ?? 0;
     const value = this.undo ? undefined : JSON.stringify(record);
-    const nothingToDo = this.undo && expectedRevision === 0;
-    const written = nothingToDo ? ok(0) : await writeAndVerify(store, {
+    const isUnchanged = this.undo && expectedRevision === 0;
+    const written = isUnchanged ? ok(0) : await writeAndVerify(store, {
       key: drainKey(this.host),
       value,
       expectedRevision,
     });
     const line = this.undo
       ? `${this.host} may own keys again`
-      : `${this.host} gives its keys up; see \`bamboolink status\``;
+      : `${this.host} is draining its keys; see \`bamboolink status\``;
     return written.map(() => ({
       lines: [line],
       data: { host: this.host, draining: !this.undo },
@@ -241,17 +241,17 @@
   static override usage = Command.Usage({
     category: "Fleet",
     description:
-      "Give your word that a host is off and will not come back as it was.",
+      "Confirm that a host is powered off and will not resume in its previous state.",
     details:
-      "Needed only where a takeover waits for evidence that nobody alive can give. If the host runs on after all, two owners may serve the same keys: orders can be lost or doubled.",
+      "Needed only if a takeover waits for evidence that no remaining daemon can provide. If the host is still running, two owners may serve the same keys, and orders can be lost or duplicated.",
     examples: [[
-      "After pulling the plug",
+      "After powering off the host",
       "bamboolink declare-lost a-1 --the-host-is-off",
     ]],
   });
   host = Option.String({ name: "HOST" });
-  sure = Option.Boolean("--the-host-is-off", false, {
-    description: "Confirms that you have made sure of it.",
+  isConfirmed = Option.Boolean("--the-host-is-off", false, {
+    description: "Confirms that you verified that the host is powered off.",
   });
 
   protected override async runOn(
@@ -259,9 +259,9 @@
     store: Store,
   ): Promise<Result<Output, BamboolinkError>> {
     const step = "operator.declare_lost";
-    if (!this.sure) {
+    if (!this.isConfirmed) {
       const message =
-        "expected --the-host-is-off: if the host still runs, its keys get a second owner and orders may be doubled";
+        "expected --the-host-is-off: if the host is still running, its keys get a second owner and orders may be duplicated";
       return err(BamboolinkError.create("invalid", message, { step }));
     }
     const sessions = findSessions(fleet, this.host);
@@ -291,7 +291,9 @@
     );
     const failed = written.find((result) => result.isErr());
     return failed?.isErr() === true ? err(failed.error) : ok({
-      lines: [`${this.host} is declared lost; its keys get new owners`],
+      lines: [
+        `${this.host} is declared lost; its keys will be assigned to new owners`,
+      ],
       data: { host: this.host, sessions: sessions.length },
     });
   }
--- a/packages/operator/src/fleet_status.ts
+++ b/packages/operator/src/fleet_status.ts
@@ -1,5 +1,5 @@
 /**
- * How the fleet is, as its planner knows it.
+ * Reads the status of the fleet from its planner.
  *
  * @module
  */
@@ -14,10 +14,10 @@
 } from "@connectrpc/connect-node";
 import { err, ok, type Result } from "neverthrow";
 
-/** How long the planner may take to answer, in milliseconds. */
-const TIMEOUT_MS = 2_000;
+/** Maximum time to wait for the planner's response, in milliseconds. */
+const PLANNER_TIMEOUT_MS = 2_000;
 
-/** One daemon as the planner knows it. */
+/** Status of one daemon, from the store's records and the daemon's last report to the planner. */
 export interface DaemonStatus {
   readonly host: string;
   readonly availabilityZone: string;
@@ -28,12 +28,17 @@
   readonly configurationVersion: number;
   readonly running: number;
   readonly waiting: number;
-  /** How long ago it reported, in milliseconds; `null` where it has not. */
+  /** Age of the last report, in milliseconds; `null` if there is none. */
   readonly reportAgeMs: number | null;
   readonly isPlanner: boolean;
 }
 
-/** Asks the planner and puts its answer beside the records of the store. */
+/**
+ * Requests the reports of all daemons from the planner and combines them with the records of the store.
+ *
+ * @returns the status of each session that has not ended; `not_found` if no planner is elected, `unreachable` if
+ *   it did not respond.
+ */
 export async function readFleetStatus(
   fleet: FleetState,
 ): Promise<Result<DaemonStatus[], BamboolinkError>> {
@@ -56,15 +61,15 @@
   });
   try {
     const status = await createClient(Peer, transport).fleetStatus({}, {
-      timeoutMs: TIMEOUT_MS,
+      timeoutMs: PLANNER_TIMEOUT_MS,
     });
     const reports = new Map(
       status.daemons.map((daemon) => [daemon.report?.session ?? "", daemon]),
     );
-    const open = [...fleet.sessions.values()].map(({ record }) => record)
+    const sessions = [...fleet.sessions.values()].map(({ record }) => record)
       .filter(({ state }) => state !== "ended");
     return ok(
-      open.map((session) =>
+      sessions.map((session) =>
         describeDaemon(session, {
           fleet,
           report: reports.get(session.id),
@@ -81,7 +86,7 @@
     return err(
       BamboolinkError.create(
         "unreachable",
-        "the planner did not answer",
+        "the planner did not respond",
         details,
       ),
     );
@@ -90,13 +95,13 @@
   }
 }
 
-type Reported = FleetStatusResponse["daemons"][number];
+type DaemonReport = FleetStatusResponse["daemons"][number];
 
 function describeDaemon(
   session: SessionRecord,
   context: {
     fleet: FleetState;
-    report: Reported | undefined;
+    report: DaemonReport | undefined;
     planner: SessionRecord;
   },
 ): DaemonStatus {
@@ -129,10 +134,10 @@
 function countPartitions(session: string, fleet: FleetState): number {
   return fleet.shards
     .map(({ record }) => {
-      const own = record.sessions.indexOf(session);
-      return own < 0
+      const ownIndex = record.sessions.indexOf(session);
+      return ownIndex < 0
         ? 0
-        : record.owners.filter((owner) => owner === own).length;
+        : record.owners.filter((owner) => owner === ownIndex).length;
     })
     .reduce((sum, count) => sum + count, 0);
 }
--- a/packages/operator/src/main.ts
+++ b/packages/operator/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `bamboolink`: the operators' command line as a process.
+ * Entry point of `bamboolink`, the command line for operators.
  *
  * @module
  */
--- a/packages/operator/src/mod.ts
+++ b/packages/operator/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' command line.
+ * Command line for operators.
  *
  * @module
  */
--- a/packages/operator/src/operator_command.ts
+++ b/packages/operator/src/operator_command.ts
@@ -1,5 +1,5 @@
 /**
- * What all commands share: the store, the form of the output, the handling of errors.
+ * Base classes of all commands: access to the store, output format and error handling.
  *
  * @module
  */
@@ -13,24 +13,28 @@
 import { err, ok, type Result } from "neverthrow";
 import { EXIT_CODES, exitCodeOf } from "./exit_codes.ts";
 
-/** How long one call to the store may take, in milliseconds. */
+/** Timeout of one call to the store, in milliseconds. */
 const STORE_TIMEOUT_MS = 5_000;
-/** An operator's tool makes few calls; the bound is against loops. */
-const STORE_CALLS = { callsPerSecond: 20, callBurst: 50, random: Math.random };
+/** The commands make few calls to the store; the limit protects it from a command that loops. */
+const STORE_RATE_LIMIT = {
+  callsPerSecond: 20,
+  callBurst: 50,
+  random: Math.random,
+};
 
-/** What a command prints: lines for people and data for `--json`. */
+/** Output of a command: `lines` as text, `data` as the JSON document of `--json`. */
 export interface Output {
   readonly lines: readonly string[];
   readonly data: unknown;
 }
 
-/** A command of the operators' tool. */
+/** A command that prints its result and maps errors to exit codes. */
 export abstract class OperatorCommand extends Command {
   json = Option.Boolean("--json", false, {
     description: "Print one JSON document.",
   });
 
-  /** Does the work of the command. */
+  /** Runs the command. */
   protected abstract run(): Promise<Result<Output, BamboolinkError>>;
 
   override async execute(): Promise<number> {
@@ -56,14 +60,14 @@
   }
 }
 
-/** A command that needs the store. */
+/** A command that needs access to the store. */
 export abstract class StoreCommand extends OperatorCommand {
   store = Option.String("--store", {
     description: "URL of the platform's key-value service (BAMBOOLINK_STORE).",
     env: "BAMBOOLINK_STORE",
   });
 
-  /** Does the work with the store. */
+  /** Runs the command with a connection to the store, which is closed afterwards. */
   protected abstract runWith(
     store: Store,
   ): Promise<Result<Output, BamboolinkError>>;
@@ -81,7 +85,7 @@
     const store = EtcdStore.create({
       url: this.store,
       timeoutMs: STORE_TIMEOUT_MS,
-      ...STORE_CALLS,
+      ...STORE_RATE_LIMIT,
     });
     try {
       return await this.runWith(store);
@@ -91,9 +95,9 @@
   }
 }
 
-/** A command that works on the records of the fleet. */
+/** A command that needs the records of the fleet. */
 export abstract class FleetCommand extends StoreCommand {
-  /** Does the work with the store and the fleet's records. */
+  /** Runs the command with the fleet's records and a connection to the store. */
   protected abstract runOn(
     fleet: FleetState,
     store: Store,
@@ -111,7 +115,7 @@
   }
 }
 
-/** Reads all records of the fleet. */
+/** Reads all records of the fleet from the store. */
 export async function readFleet(
   store: Store,
 ): Promise<Result<FleetState, BamboolinkError>> {
@@ -123,7 +127,7 @@
   });
 }
 
-/** Reads a JSON file. */
+/** Reads a JSON file; `invalid` if it can't be read or parsed. */
 export async function readJsonFile(
   path: string,
 ): Promise<Result<unknown, BamboolinkError>> {
@@ -142,7 +146,7 @@
   }
 }
 
-/** The name under which changes are written down, unless the operator gives another. */
+/** Default author of changes: the name of the operating system's user, `unknown` if there is none. */
 export function defaultAuthor(): string {
   try {
     return userInfo().username;
