--- a/packages/daemon/src/backend_dispatcher.ts
+++ b/packages/daemon/src/backend_dispatcher.ts
@@ -21,7 +21,7 @@
 import { monotonicMs, wallClockMs } from "./clock.ts";
 import { isConnectFailure } from "./connection_errors.ts";
 import { readSingleHeader, selectEndToEndHeaders } from "./http_headers.ts";
-import type { OwnSession } from "./own_session.ts";
+import type { LocalSession } from "./local_session.ts";
 import type { SlotLimiter } from "./slot_limiter.ts";
 
 /** Larger responses to non-idempotent requests are not stored for retries. */
@@ -31,7 +31,7 @@
 
 /** Dependencies of the dispatcher. */
 export interface BackendDispatcherContext {
-  readonly session: () => OwnSession | undefined;
+  readonly session: () => LocalSession | undefined;
   readonly backend: BackendConnection;
   readonly slotLimiter: SlotLimiter;
 }
@@ -72,7 +72,7 @@
   /** Claims the right to run a non-idempotent request that has an idempotency key; other requests need no claim. */
   private claim(
     request: RoutedRequest,
-    owner: { session: OwnSession; assignment: Assignment },
+    owner: { session: LocalSession; assignment: Assignment },
   ): { kind: "claimed"; name: string | undefined } | {
     kind: "refused";
     result: AttemptResult;
@@ -103,7 +103,7 @@
       firstAttempt: request.headers[HEADERS.firstAttempt] === "1",
     }, {
       nowMs,
-      leaseStartedAtMs: owner.session.tenureSince(owner.assignment),
+      leaseStartedAtMs: owner.session.leaseStartedAtMs(owner.assignment),
     });
     return claim.kind === "run"
       ? { kind: "claimed", name }
@@ -112,7 +112,7 @@
 
   private async admit(
     request: RoutedRequest,
-    owner: { session: OwnSession; assignment: Assignment },
+    owner: { session: LocalSession; assignment: Assignment },
   ): Promise<AttemptResult> {
     const { slotLimiter } = this.context;
     // Callers choose the request id and may use one twice, so slots have ids of their own.
@@ -146,7 +146,7 @@
    */
   private async dispatch(
     request: RoutedRequest,
-    owner: { session: OwnSession; assignment: Assignment; slot: string },
+    owner: { session: LocalSession; assignment: Assignment; slot: string },
   ): Promise<AttemptResult> {
     const { session, assignment, slot } = owner;
     const { slotLimiter, backend } = this.context;
@@ -154,7 +154,7 @@
     // The lease or the assignment may have ended during the wait for a slot, and the process may have been paused, so
     // both are checked again just before sending.
     const mayServe = session.mayServe(assignment, startedMs) &&
-      session.allowsWork(request.deadlineMs - startedMs);
+      session.mayRunFor(request.deadlineMs - startedMs);
     if (!mayServe || backend.connections === undefined) {
       slotLimiter.release(slot);
       return notRun("not_owner", "this daemon may not serve the key any more");
@@ -194,7 +194,7 @@
 
   private createBackendRequest(
     request: RoutedRequest,
-    owner: { session: OwnSession; assignment: Assignment; startedMs: number },
+    owner: { session: LocalSession; assignment: Assignment; startedMs: number },
   ): Dispatcher.RequestOptions {
     const { session, assignment } = owner;
     const expiresMs = Math.min(session.validUntilMs, request.deadlineMs);
@@ -260,7 +260,7 @@
 /** Stores the response for retries; a response that is too large or incomplete is recorded as unknown. */
 async function storeResponse(
   result: AttemptResult,
-  claim: { session: OwnSession; name: string },
+  claim: { session: LocalSession; name: string },
 ): Promise<AttemptResult> {
   const { idempotency } = claim.session;
   if (result.kind === "not_run" || result.kind === "invalid") {
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -32,9 +32,9 @@
 import { createPeerRoutes } from "./peer_service.ts";
 import { Planner } from "./planner.ts";
 import { Randomness } from "./randomness.ts";
-import { RecordSpreader } from "./record_spreader.ts";
+import { RecordGossiper } from "./record_gossiper.ts";
 import { Reporter } from "./reporter.ts";
-import { SessionKeeper } from "./session_keeper.ts";
+import { SessionManager } from "./session_manager.ts";
 import { SlotLimiter } from "./slot_limiter.ts";
 import { StoreFollower } from "./store_follower.ts";
 
@@ -66,9 +66,9 @@
   private readonly clients = PeerClients.create();
   private readonly backend = BackendConnection.create();
   private readonly slotLimiter = SlotLimiter.create(INITIAL_QUEUE_LIMITS);
-  private readonly sessionManager: SessionKeeper;
+  private readonly sessionManager: SessionManager;
   private readonly follower: StoreFollower;
-  private readonly gossiper: RecordSpreader;
+  private readonly gossiper: RecordGossiper;
   private readonly planner: Planner;
   private readonly reporter: Reporter;
   private readonly forwarder: OwnerForwarder;
@@ -101,14 +101,14 @@
     this.fleet = Fleet.create(this.logger);
     const { store, fleet, clients, logger, randomness } = this;
     const sessionId = () => this.sessionManager.current?.id ?? "";
-    this.sessionManager = SessionKeeper.create({
+    this.sessionManager = SessionManager.create({
       store,
       fleet,
       clients,
       logger,
       randomness,
       timing: DEFAULT_TIMING,
-      place: {
+      location: {
         host: settings.host,
         region: settings.region,
         availabilityZone: settings.availability_zone,
@@ -119,7 +119,7 @@
       isDraining: () => this.stopping || !this.backend.isReady(monotonicMs()),
     });
     this.follower = StoreFollower.create({ store, fleet, logger, randomness });
-    this.gossiper = RecordSpreader.create({
+    this.gossiper = RecordGossiper.create({
       fleet,
       clients,
       logger,
@@ -142,7 +142,7 @@
       fleet,
       clients,
       logger,
-      condition: () => this.slotLimiter.counts,
+      requestCounts: () => this.slotLimiter.counts,
     });
     this.forwarder = OwnerForwarder.create({ fleet, sessionId });
     const local = BackendDispatcher.create({
@@ -185,8 +185,8 @@
     this.controlServer = createHttp2Server(connectNodeAdapter({
       routes: createPeerRoutes({
         fleet,
-        keeper: this.sessionManager,
-        spreader: this.gossiper,
+        sessionManager: this.sessionManager,
+        gossiper: this.gossiper,
         planner: this.planner,
       }),
     }));
@@ -292,7 +292,7 @@
     this.fleet.onChange(() => {
       this.gossiper.push();
       const shards = this.fleet.state.shards.map((shard) => shard.record);
-      this.sessionManager.current?.noteAssignments(shards, wallClockMs());
+      this.sessionManager.current?.recordAssignments(shards, wallClockMs());
       this.clients.retain(
         new Set(this.fleet.sessions.map((session) => session.control_address)),
       );
