--- a/soak/src/fault_schedule.ts
+++ b/soak/src/fault_schedule.ts
@@ -23,17 +23,20 @@
   "change_configuration",
 ] as const;
 /** What can be done in addition; drawn apart, so that the faults of a seed stay what they were. */
-export const LATER_FAULT_KINDS = ["restart_backend", "restart_often"] as const;
+export const RESTART_FAULT_KINDS = [
+  "restart_backend",
+  "restart_often",
+] as const;
 /** The same, drawn apart from both. */
-export const LATEST_FAULT_KINDS = [
+export const ROLLBACK_AND_LETHAL_FAULT_KINDS = [
   "store_goes_back",
   "lethal_request",
 ] as const;
 /** What can be done to a fleet. */
 export type FaultKind =
   | typeof FAULT_KINDS[number]
-  | typeof LATER_FAULT_KINDS[number]
-  | typeof LATEST_FAULT_KINDS[number];
+  | typeof RESTART_FAULT_KINDS[number]
+  | typeof ROLLBACK_AND_LETHAL_FAULT_KINDS[number];
 
 /** One fault of a schedule. */
 export interface Fault {
@@ -47,41 +50,41 @@
 }
 
 /** A drawer of numbers that gives the same sequence for the same seed. */
-export type Draw = (least: number, most: number) => number;
+export type Draw = (min: number, max: number) => number;
 
 /** Creates the drawer of a seed. */
 export function createDraw(seed: number): Draw {
   const generator = xoroshiro128plus(seed);
-  return (least, most) => uniformInt(generator, least, most);
+  return (min, max) => uniformInt(generator, min, max);
 }
 
 /** Draws faults that overlap, over a time. */
 export function drawFaults(
   draw: Draw,
-  run: {
-    hosts: number;
-    lengthMs: number;
+  options: {
+    hostCount: number;
+    durationMs: number;
     hasRestarts: boolean;
-    hasReturns: boolean;
+    hasRollbacksAndLethalRequests: boolean;
   },
 ): Fault[] {
-  const count = Math.max(2, Math.round(run.lengthMs / 1_500));
-  const drawSeries = (kinds: readonly FaultKind[], length: number) =>
-    Array.from({ length }, () => ({
+  const faultCount = Math.max(2, Math.round(options.durationMs / 1_500));
+  const drawSeries = (kinds: readonly FaultKind[], count: number) =>
+    Array.from({ length: count }, () => ({
       kind: kinds[draw(0, kinds.length - 1)]!,
-      host: draw(0, run.hosts - 1),
-      atMs: draw(0, run.lengthMs),
+      host: draw(0, options.hostCount - 1),
+      atMs: draw(0, options.durationMs),
       forMs: draw(200, 3_500),
     }));
   return [
-    ...drawSeries(FAULT_KINDS, count),
+    ...drawSeries(FAULT_KINDS, faultCount),
     ...drawSeries(
-      LATER_FAULT_KINDS,
-      run.hasRestarts ? Math.round(count / 2) : 0,
+      RESTART_FAULT_KINDS,
+      options.hasRestarts ? Math.round(faultCount / 2) : 0,
     ),
     ...drawSeries(
-      LATEST_FAULT_KINDS,
-      run.hasReturns ? Math.round(count / 4) : 0,
+      ROLLBACK_AND_LETHAL_FAULT_KINDS,
+      options.hasRollbacksAndLethalRequests ? Math.round(faultCount / 4) : 0,
     ),
   ].sort((left, right) => left.atMs - right.atMs);
 }
--- a/soak/src/promise_check.ts
+++ b/soak/src/guarantee_check.ts
@@ -6,7 +6,7 @@
 import type { PlatformFleet } from "@bamboolink/platform/testing";
 
 /** What a caller asked and got. */
-export interface Asked {
+export interface CompletedRequest {
   readonly id: string;
   readonly method: string;
   readonly path: string;
@@ -15,7 +15,7 @@
 }
 
 /** Statuses that promise that a request has not run. */
-const REFUSED: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+const REFUSAL_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /** Keys that two living backend servers hold at this moment. */
 export function findDoubleHolds(fleet: PlatformFleet): string[] {
@@ -36,18 +36,23 @@
 }
 
 /** Broken promises about requests, once no request is under way. */
-export function findBrokenPromises(
+export function findRequestViolations(
   fleet: PlatformFleet,
-  asked: readonly Asked[],
+  completedRequests: readonly CompletedRequest[],
 ): string[] {
-  const runs = new Map<string, number>();
-  fleet.ledger.forEach(({ id }) => runs.set(id, (runs.get(id) ?? 0) + 1));
-  return asked.flatMap((request) => {
-    const count = runs.get(request.id) ?? 0;
-    const isOnce = request.method === "POST";
+  const runCounts = new Map<string, number>();
+  fleet.ledger.forEach(({ id }) =>
+    runCounts.set(id, (runCounts.get(id) ?? 0) + 1)
+  );
+  return completedRequests.flatMap((request) => {
+    const runCount = runCounts.get(request.id) ?? 0;
+    const isNonIdempotent = request.method === "POST";
     return [
-      ...(isOnce && count > 1 ? [`${request.id} ran ${count} times`] : []),
-      ...(isOnce && count > 0 && REFUSED.has(request.status)
+      ...(isNonIdempotent && runCount > 1
+        ? [`${request.id} ran ${runCount} times`]
+        : []),
+      ...(isNonIdempotent && runCount > 0 &&
+          REFUSAL_STATUSES.has(request.status)
         ? [`${request.id} was refused with ${request.status} and ran`]
         : []),
       ...(request.status === 200 &&
--- a/soak/src/main.ts
+++ b/soak/src/main.ts
@@ -17,34 +17,37 @@
 const first = Number(values.first ?? Math.floor(Math.random() * 1_000_000));
 const seeds = Array.from(
   { length: Number(values.seeds) },
-  (_, at) => first + at,
+  (_, offset) => first + offset,
 );
-let failed = 0;
+let failedCount = 0;
 
 /** Runs seeds one after the other on one network of loopback addresses. */
-async function work(network: number): Promise<void> {
+async function runSeeds(network: number): Promise<void> {
   const seed = seeds.shift();
   if (seed === undefined) {
     return;
   }
   const result = await runSoak(seed, {
-    lengthMs: Number(values.seconds) * 1_000,
+    durationMs: Number(values.seconds) * 1_000,
     network,
   });
-  failed += result.broken.length > 0 ? 1 : 0;
-  const verdict = result.broken.length === 0 ? "ok" : "BROKEN";
+  failedCount += result.violations.length > 0 ? 1 : 0;
+  const verdict = result.violations.length === 0 ? "ok" : "BROKEN";
   console.log(
-    `seed ${seed}: ${verdict}, ${result.served} of ${result.asked} served`,
+    `seed ${seed}: ${verdict}, ${result.servedCount} of ${result.requestCount} served`,
   );
-  result.broken.slice(0, 5).forEach((line) => console.log(`  ${line}`));
-  if (result.broken.length > 0) {
+  result.violations.slice(0, 5).forEach((line) => console.log(`  ${line}`));
+  if (result.violations.length > 0) {
     result.faults.forEach((fault) => console.log(`  ${JSON.stringify(fault)}`));
   }
-  await work(network);
+  await runSeeds(network);
 }
 
 await Promise.all(
-  Array.from({ length: Number(values.together) }, (_, at) => work(60 + at)),
+  Array.from(
+    { length: Number(values.together) },
+    (_, index) => runSeeds(60 + index),
+  ),
 );
-console.log(`${failed} seeds broke a promise`);
-process.exit(failed === 0 ? 0 : 1);
+console.log(`${failedCount} seeds broke a promise`);
+process.exit(failedCount === 0 ? 0 : 1);
--- a/soak/src/regression_seeds.ts
+++ b/soak/src/regression_seeds.ts
@@ -11,7 +11,7 @@
   /** Whether it was found with restarts under the same id and callers that keep connections. */
   readonly hasRestarts: boolean;
   /** Whether with a store that comes back from an older copy, and requests that end servers. */
-  readonly hasReturns: boolean;
+  readonly hasRollbacksAndLethalRequests: boolean;
 }
 
 /** Seeds that broke a promise once. */
@@ -19,7 +19,7 @@
   {
     seed: 309,
     hasRestarts: false,
-    hasReturns: false,
+    hasRollbacksAndLethalRequests: false,
     cause:
       "open: the fleet once did not serve everything again within 25 s after a drain and a cut of the store",
   },
--- a/soak/src/relay.ts
+++ b/soak/src/relay.ts
@@ -18,7 +18,7 @@
   | "reset";
 
 /** Delay of a slow relay, in milliseconds. */
-const SLOW_MS = 60;
+const SLOW_DELAY_MS = 60;
 
 /** One relay. */
 export class Relay {
@@ -32,14 +32,14 @@
 
   /** Starts a relay at an address in front of another. */
   static async create(
-    at: { host: string; port: number },
+    listenAddress: { host: string; port: number },
     target: { host: string; port: number },
   ): Promise<Relay> {
     const server = createServer();
     const relay = new Relay(server, target);
-    server.on("connection", (socket) => relay.take(socket));
+    server.on("connection", (socket) => relay.accept(socket));
     await new Promise<void>((resolve) =>
-      server.listen(at.port, at.host, resolve)
+      server.listen(listenAddress.port, listenAddress.host, resolve)
     );
     return relay;
   }
@@ -58,24 +58,24 @@
     this.sockets.forEach((socket) => socket.destroy());
   }
 
-  private take(incoming: Socket): void {
+  private accept(incoming: Socket): void {
     if (this.mode === "reset") {
       incoming.resetAndDestroy();
       return;
     }
     const outgoing = connect(this.target);
-    this.join(incoming, { to: outgoing, isFromServer: false });
-    this.join(outgoing, { to: incoming, isFromServer: true });
+    this.forward(incoming, { to: outgoing, isFromServer: false });
+    this.forward(outgoing, { to: incoming, isFromServer: true });
   }
 
-  private join(
+  private forward(
     from: Socket,
-    way: { to: Socket; isFromServer: boolean },
+    direction: { to: Socket; isFromServer: boolean },
   ): void {
-    const { to, isFromServer } = way;
+    const { to, isFromServer } = direction;
     this.sockets.add(from);
-    from.on("data", (bytes) => this.pass(bytes, { to, isFromServer }));
-    from.on("end", () => this.isOpen(isFromServer) && to.end());
+    from.on("data", (bytes) => this.forwardBytes(bytes, { to, isFromServer }));
+    from.on("end", () => this.isForwarding(isFromServer) && to.end());
     from.on("error", () => to.destroy());
     from.on("close", () => {
       this.sockets.delete(from);
@@ -83,23 +83,26 @@
     });
   }
 
-  private isOpen(isFromServer: boolean): boolean {
+  private isForwarding(isFromServer: boolean): boolean {
     return this.mode !== "silent" &&
       !(this.mode === "one_way" && isFromServer);
   }
 
   /** Bytes that meet a cut are lost, as they are when the cut outlasts the connection. */
-  private pass(
+  private forwardBytes(
     bytes: Buffer,
-    way: { to: Socket; isFromServer: boolean },
+    direction: { to: Socket; isFromServer: boolean },
   ): void {
-    if (!this.isOpen(way.isFromServer)) {
+    if (!this.isForwarding(direction.isFromServer)) {
       return;
     }
     if (this.mode === "slow") {
-      setTimeout(() => way.to.writable && way.to.write(bytes), SLOW_MS);
+      setTimeout(
+        () => direction.to.writable && direction.to.write(bytes),
+        SLOW_DELAY_MS,
+      );
       return;
     }
-    way.to.write(bytes);
+    direction.to.write(bytes);
   }
 }
--- a/soak/src/soak_run.ts
+++ b/soak/src/soak_run.ts
@@ -18,42 +18,42 @@
   type Fault,
 } from "./fault_schedule.ts";
 import {
-  type Asked,
-  findBrokenPromises,
+  type CompletedRequest,
   findDoubleHolds,
-} from "./promise_check.ts";
+  findRequestViolations,
+} from "./guarantee_check.ts";
 import { Relay, type RelayMode } from "./relay.ts";
 
 const SERVICES = ["plain", "plain", "keyed", "keyed", "keyed"];
 /** Callers that send one request after the other. */
-const CALLERS = 6;
+const CALLER_COUNT = 6;
 /** Time between two looks at who holds what, in milliseconds. */
-const LOOK_MS = 15;
+const HOLD_CHECK_INTERVAL_MS = 15;
 /** After the last fault, how long the fleet may take to serve everything again, in milliseconds. */
-const RECOVER_MS = 25_000;
-const KEYS = 65_536;
+const RECOVERY_TIMEOUT_MS = 25_000;
+const KEY_COUNT = 65_536;
 /** Pause between restarts of a series, in milliseconds: about that between two heartbeats. */
 const RESTART_PAUSE_MS = 350;
 /** What the copy lacks from which the store comes back, in milliseconds before it was away. */
-const LOST_MS = 5_000;
+const SNAPSHOT_AGE_MS = 5_000;
 /** A request for this ends each backend server without keys that runs it. */
 const LETHAL_PATH = "/plain/lethal";
 /** So often such a request is sent, and the pause between, in milliseconds. */
-const LETHAL_COUNT = 6;
-const LETHAL_PAUSE_MS = 250;
+const LETHAL_REQUEST_COUNT = 6;
+const LETHAL_REQUEST_PAUSE_MS = 250;
 /** How long a server is away after its end, in milliseconds. */
-const LETHAL_AWAY_MS = 500;
+const CRASH_RESTART_DELAY_MS = 500;
 /** Callers that send ahead on a connection until it ends. */
-const AHEAD_CALLERS = 2;
+const PIPELINING_CALLER_COUNT = 2;
 
 /** How a run ended. */
 export interface SoakResult {
   readonly seed: number;
-  readonly asked: number;
-  readonly served: number;
+  readonly requestCount: number;
+  readonly servedCount: number;
   readonly faults: readonly Fault[];
   /** Broken promises, in words; none if all was well. */
-  readonly broken: readonly string[];
+  readonly violations: readonly string[];
 }
 
 /**
@@ -61,15 +61,15 @@
  *
  * @param options `network`: the second number of the loopback addresses, so that runs side by side don't meet;
  *   `hasRestarts`: whether backend servers restart under their ids and callers keep connections, which seeds of before
- *   did not have; `hasReturns`: the same of a store that comes back from an older copy and of requests that end servers.
+ *   did not have; `hasRollbacksAndLethalRequests`: the same of a store that comes back from an older copy and of requests that end servers.
  */
 export async function runSoak(
   seed: number,
   options: {
-    lengthMs: number;
+    durationMs: number;
     network: number;
     hasRestarts?: boolean;
-    hasReturns?: boolean;
+    hasRollbacksAndLethalRequests?: boolean;
   },
 ): Promise<SoakResult> {
   const draw = createDraw(seed);
@@ -83,9 +83,9 @@
   });
   const run = new SoakRun(fleet, relay, draw);
   try {
-    return await run.play(seed, {
+    return await run.execute(seed, {
       hasRestarts: true,
-      hasReturns: true,
+      hasRollbacksAndLethalRequests: true,
       ...options,
     });
   } finally {
@@ -95,14 +95,14 @@
 }
 
 class SoakRun {
-  private readonly asked: Asked[] = [];
-  private readonly broken = new Set<string>();
+  private readonly completedRequests: CompletedRequest[] = [];
+  private readonly violations = new Set<string>();
   /** What the last look at the recovery found, for the report. */
-  private unserved: string[] = [];
+  private unservedRequests: string[] = [];
   /** Hosts whose backend servers are being started, since series of faults overlap. */
-  private readonly starting = new Set<FleetHost>();
+  private readonly startingHosts = new Set<FleetHost>();
   private isOver = false;
-  private version = 1;
+  private configurationVersion = 1;
 
   constructor(
     private readonly fleet: PlatformFleet,
@@ -110,98 +110,110 @@
     private readonly draw: Draw,
   ) {}
 
-  async play(
+  async execute(
     seed: number,
-    options: { lengthMs: number; hasRestarts: boolean; hasReturns: boolean },
+    options: {
+      durationMs: number;
+      hasRestarts: boolean;
+      hasRollbacksAndLethalRequests: boolean;
+    },
   ): Promise<SoakResult> {
     const faults = drawFaults(this.draw, {
-      hosts: this.fleet.hosts.length,
+      hostCount: this.fleet.hosts.length,
       ...options,
     });
-    const looking = setInterval(
+    const holdCheckTimer = setInterval(
       () =>
-        findDoubleHolds(this.fleet).forEach((found) => this.broken.add(found)),
-      LOOK_MS,
+        findDoubleHolds(this.fleet).forEach((violation) =>
+          this.violations.add(violation)
+        ),
+      HOLD_CHECK_INTERVAL_MS,
     );
     const callers = [
-      ...Array.from({ length: CALLERS }, (_, index) => this.call(index)),
       ...Array.from(
-        { length: options.hasRestarts ? AHEAD_CALLERS : 0 },
-        (_, index) => this.callAhead(index),
+        { length: CALLER_COUNT },
+        (_, index) => this.runCaller(index),
+      ),
+      ...Array.from(
+        { length: options.hasRestarts ? PIPELINING_CALLER_COUNT : 0 },
+        (_, index) => this.runPipeliningCaller(index),
       ),
     ];
     await Promise.all(faults.map((fault) => this.inject(fault)));
-    if (!await this.hasRecovered()) {
-      this.broken.add(
+    if (!await this.awaitRecovery()) {
+      this.violations.add(
         `the fleet does not serve everything again: ${
-          this.unserved.join(", ")
+          this.unservedRequests.join(", ")
         }`,
       );
     }
     this.isOver = true;
     await Promise.all(callers);
-    clearInterval(looking);
-    findBrokenPromises(this.fleet, this.asked)
-      .forEach((found) => this.broken.add(found));
+    clearInterval(holdCheckTimer);
+    findRequestViolations(this.fleet, this.completedRequests)
+      .forEach((violation) => this.violations.add(violation));
     return {
       seed,
-      asked: this.asked.length,
-      served: this.asked.filter(({ status }) => status === 200).length,
+      requestCount: this.completedRequests.length,
+      servedCount:
+        this.completedRequests.filter(({ status }) => status === 200).length,
       faults,
-      broken: [...this.broken],
+      violations: [...this.violations],
     };
   }
 
-  private async call(caller: number): Promise<void> {
+  private async runCaller(callerIndex: number): Promise<void> {
     let count = 0;
     while (!this.isOver) {
       count += 1;
       const host = this.fleet
-        .hosts[(caller + count) % this.fleet.hosts.length]!;
+        .hosts[(callerIndex + count) % this.fleet.hosts.length]!;
       const kind = count % 3;
       const method = kind === 0 ? "POST" : "GET";
       const path = kind === 0
-        ? `/orders/${caller}-${count}`
+        ? `/orders/${callerIndex}-${count}`
         : kind === 1
-        ? `/plain/${caller}-${count}`
-        : `/keyed/${caller}-${count}`;
-      const answer = await this.fleet.send(host, {
+        ? `/plain/${callerIndex}-${count}`
+        : `/keyed/${callerIndex}-${count}`;
+      const response = await this.fleet.send(host, {
         path,
         method,
         ...(kind === 2
-          ? { key: (caller * 7_919 + count * 104_729) % KEYS }
+          ? { key: (callerIndex * 7_919 + count * 104_729) % KEY_COUNT }
           : {}),
         deadlineMs: 1_200,
       });
-      this.asked.push({ ...answer, method, path });
-      if (answer.status !== 200) {
+      this.completedRequests.push({ ...response, method, path });
+      if (response.status !== 200) {
         await sleep(30);
       }
     }
   }
 
   /** Sends on one connection for as long as the daemon keeps it, also while that stops. */
-  private async callAhead(caller: number): Promise<void> {
-    for (let count = caller; !this.isOver; count += 1) {
+  private async runPipeliningCaller(callerIndex: number): Promise<void> {
+    for (let count = callerIndex; !this.isOver; count += 1) {
       const host = this.fleet.hosts[count % this.fleet.hosts.length]!;
-      const ahead = await this.fleet.openPipelined(host).catch(() => undefined);
-      while (ahead !== undefined && !ahead.isClosed && !this.isOver) {
-        await ahead.send(["/plain/1", "/plain/2"]);
+      const connection = await this.fleet.openPipelined(host).catch(() =>
+        undefined
+      );
+      while (connection !== undefined && !connection.isClosed && !this.isOver) {
+        await connection.send(["/plain/1", "/plain/2"]);
         await sleep(30);
       }
-      if (ahead !== undefined) {
-        this.checkOrder(ahead);
-        ahead.close();
+      if (connection !== undefined) {
+        this.checkResponseOrder(connection);
+        connection.close();
       }
       await sleep(30);
     }
   }
 
   /** What was answered on one connection was asked there, each once and in order. */
-  private checkOrder({ answeredIds, sentIds }: PipeliningCaller): void {
+  private checkResponseOrder({ answeredIds, sentIds }: PipeliningCaller): void {
     const expected = sentIds.slice(0, answeredIds.length);
     if (answeredIds.join() !== expected.join()) {
-      this.broken.add(
+      this.violations.add(
         `${answeredIds.join()} were answered to ${sentIds.join()}`,
       );
     }
@@ -213,9 +225,9 @@
     const { faults } = this.fleet.store;
     switch (fault.kind) {
       case "kill_daemon":
-        return await this.restart(host, "SIGKILL");
+        return await this.restartDaemon(host, "SIGKILL");
       case "stop_daemon":
-        return await this.restart(host, "SIGTERM");
+        return await this.restartDaemon(host, "SIGTERM");
       case "pause_daemon":
         host.daemon.kill("SIGSTOP");
         await sleep(fault.forMs);
@@ -226,8 +238,8 @@
       case "restart_backend":
         return await this.replaceBackend(host, 20, host.backend.instance);
       case "restart_often": {
-        const untilMs = Date.now() + fault.forMs;
-        while (Date.now() < untilMs) {
+        const endsAtMs = Date.now() + fault.forMs;
+        while (Date.now() < endsAtMs) {
           await this.replaceBackend(host, 20, host.backend.instance);
           await sleep(RESTART_PAUSE_MS);
         }
@@ -238,58 +250,58 @@
         await sleep(fault.forMs);
         return await this.replaceBackend(host, 100);
       case "lose_answers":
-        return await this.during(
+        return await this.enableDuring(
           fault,
-          (on) => host.backend.dropsResponses = on,
+          (isOn) => host.backend.dropsResponses = isOn,
         );
       case "store_down":
-        return await this.during(fault, (on) => faults.isDown = on);
+        return await this.enableDuring(fault, (isOn) => faults.isDown = isOn);
       case "store_slow":
-        return await this.during(
+        return await this.enableDuring(
           fault,
-          (on) => faults.responseDelayMs = on ? 250 : 0,
+          (isOn) => faults.responseDelayMs = isOn ? 250 : 0,
         );
       case "store_loses_answers":
-        return await this.during(
+        return await this.enableDuring(
           fault,
-          (on) => faults.dropsWriteResponses = on,
+          (isOn) => faults.dropsWriteResponses = isOn,
         );
       case "store_relay_silent":
-        return await this.relayDuring(fault, "silent");
+        return await this.setRelayModeDuring(fault, "silent");
       case "store_relay_one_way":
-        return await this.relayDuring(fault, "one_way");
+        return await this.setRelayModeDuring(fault, "one_way");
       case "store_relay_reset":
-        return await this.relayDuring(fault, "reset");
+        return await this.setRelayModeDuring(fault, "reset");
       case "store_goes_back":
-        await this.during(fault, (on) => faults.isDown = on);
-        this.fleet.store.rollBack(fault.forMs + LOST_MS);
+        await this.enableDuring(fault, (isOn) => faults.isDown = isOn);
+        this.fleet.store.rollBack(fault.forMs + SNAPSHOT_AGE_MS);
         return;
       case "lethal_request":
-        return await this.sendLethal();
+        return await this.sendLethalRequests();
       case "change_configuration":
-        this.version += 1;
+        this.configurationVersion += 1;
         this.fleet.store.write(
           "op/config",
-          encodeConfiguration(this.version),
+          encodeConfiguration(this.configurationVersion),
         );
     }
   }
 
   /** Has a request end each backend server that runs it, and sends it at one host after the other. */
-  private async sendLethal(): Promise<void> {
-    for (let count = 0; count < LETHAL_COUNT; count += 1) {
+  private async sendLethalRequests(): Promise<void> {
+    for (let count = 0; count < LETHAL_REQUEST_COUNT; count += 1) {
       this.fleet.hosts.forEach((host) => {
         host.backend.crashTarget = LETHAL_PATH;
         host.backend.onTargetCrash = () =>
-          void this.replaceBackend(host, LETHAL_AWAY_MS);
+          void this.replaceBackend(host, CRASH_RESTART_DELAY_MS);
       });
       const host = this.fleet.hosts[count % this.fleet.hosts.length]!;
       await this.fleet.send(host, { path: LETHAL_PATH });
-      await sleep(LETHAL_PAUSE_MS);
+      await sleep(LETHAL_REQUEST_PAUSE_MS);
     }
   }
 
-  private async during(
+  private async enableDuring(
     fault: Fault,
     set: (isOn: boolean) => void,
   ): Promise<void> {
@@ -298,7 +310,10 @@
     set(false);
   }
 
-  private async relayDuring(fault: Fault, mode: RelayMode): Promise<void> {
+  private async setRelayModeDuring(
+    fault: Fault,
+    mode: RelayMode,
+  ): Promise<void> {
     this.relay.setMode(mode);
     await sleep(fault.forMs);
     // Connections that a cut has harmed don't come back by themselves.
@@ -306,17 +321,17 @@
     this.relay.setMode("pass");
   }
 
-  private async restart(
+  private async restartDaemon(
     host: FleetHost,
     signal: "SIGKILL" | "SIGTERM",
   ): Promise<void> {
     const { daemon } = host;
-    const ended = daemon.exitCode !== null || daemon.signalCode !== null
+    const exited = daemon.exitCode !== null || daemon.signalCode !== null
       ? Promise.resolve()
       : new Promise((resolve) => daemon.once("exit", resolve));
     daemon.kill("SIGCONT");
     daemon.kill(signal);
-    await ended;
+    await exited;
     await sleep(150);
     if (host.daemon === daemon) {
       this.fleet.startDaemon(host);
@@ -325,23 +340,23 @@
 
   private async replaceBackend(
     host: FleetHost,
-    afterMs: number,
+    startDelayMs: number,
     instance?: string,
   ): Promise<void> {
     const { backend } = host;
     backend.crash();
-    await sleep(afterMs);
-    if (host.backend === backend && !this.starting.has(host)) {
-      this.starting.add(host);
+    await sleep(startDelayMs);
+    if (host.backend === backend && !this.startingHosts.has(host)) {
+      this.startingHosts.add(host);
       await this.fleet.startBackend(
         host,
         instance === undefined ? {} : { instance },
       );
-      this.starting.delete(host);
+      this.startingHosts.delete(host);
     }
   }
 
-  private hasRecovered(): Promise<boolean> {
+  private awaitRecovery(): Promise<boolean> {
     const paths = [
       { path: "/plain/end" },
       ...[1, 22_000, 44_000, 65_535].map((key) => ({
@@ -350,22 +365,22 @@
       })),
     ];
     return this.fleet.until(async () => {
-      const answers = await Promise.all(
+      const responses = await Promise.all(
         this.fleet.hosts.flatMap((host) =>
-          paths.map(async (asked) => {
-            const { status, body } = await this.fleet.send(host, asked);
+          paths.map(async (request) => {
+            const { status, body } = await this.fleet.send(host, request);
             return {
               status,
-              said: `${host.address} ${
-                JSON.stringify(asked)
+              description: `${host.address} ${
+                JSON.stringify(request)
               } ${status} ${body}`,
             };
           })
         ),
       );
-      const unserved = answers.filter(({ status }) => status !== 200);
-      this.unserved = unserved.map(({ said }) => said);
+      const unserved = responses.filter(({ status }) => status !== 200);
+      this.unservedRequests = unserved.map(({ description }) => description);
       return unserved.length === 0;
-    }, RECOVER_MS);
+    }, RECOVERY_TIMEOUT_MS);
   }
 }
--- a/soak/src/soak_test.ts
+++ b/soak/src/soak_test.ts
@@ -8,7 +8,7 @@
 import { runSoak } from "./soak_run.ts";
 
 const SHORT_SEED = 20_261_202;
-const LENGTH_MS = 8_000;
+const DURATION_MS = 8_000;
 
 describe("soak", function () {
   this.timeout(90_000);
@@ -16,11 +16,11 @@
   describe("with a short seeded run", () => {
     it("keeps all promises", async () => {
       const result = await runSoak(SHORT_SEED, {
-        lengthMs: LENGTH_MS,
+        durationMs: DURATION_MS,
         network: 58,
       });
-      expect(result.broken).to.deep.equal([]);
-      expect(result.served).to.be.above(0);
+      expect(result.violations).to.deep.equal([]);
+      expect(result.servedCount).to.be.above(0);
     });
   });
 
@@ -29,10 +29,10 @@
       it(`keeps all promises with ${seed}: ${cause}`, async () => {
         const result = await runSoak(seed, {
           ...parts,
-          lengthMs: LENGTH_MS,
+          durationMs: DURATION_MS,
           network: 58,
         });
-        expect(result.broken).to.deep.equal([]);
+        expect(result.violations).to.deep.equal([]);
       });
     });
   });
