--- a/soak/src/fault_schedule.ts
+++ b/soak/src/fault_schedule.ts
@@ -6,7 +6,7 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** What can be done to a fleet. */
+/** Kinds of faults in every run. */
 export const FAULT_KINDS = [
   "kill_daemon",
   "stop_daemon",
@@ -22,17 +22,17 @@
   "store_relay_reset",
   "change_configuration",
 ] as const;
-/** What can be done in addition; drawn apart, so that the faults of a seed stay what they were. */
+/** Restarts of backend servers; drawn after `FAULT_KINDS`, so that older seeds still yield the same faults. */
 export const RESTART_FAULT_KINDS = [
   "restart_backend",
   "restart_often",
 ] as const;
-/** The same, drawn apart from both. */
+/** Rollbacks of the store and requests that crash backend servers; drawn after both others for the same reason. */
 export const ROLLBACK_AND_LETHAL_FAULT_KINDS = [
   "store_goes_back",
   "lethal_request",
 ] as const;
-/** What can be done to a fleet. */
+/** A kind of fault. */
 export type FaultKind =
   | typeof FAULT_KINDS[number]
   | typeof RESTART_FAULT_KINDS[number]
@@ -41,24 +41,24 @@
 /** One fault of a schedule. */
 export interface Fault {
   readonly kind: FaultKind;
-  /** Chooses the host, where one is harmed. */
+  /** Index of the host, for a fault that affects one host. */
   readonly host: number;
-  /** When it begins, in milliseconds from the start. */
+  /** Start of the fault, in milliseconds from the start of the run. */
   readonly atMs: number;
-  /** How long it lasts, in milliseconds. */
+  /** Duration, in milliseconds. */
   readonly forMs: number;
 }
 
-/** A drawer of numbers that gives the same sequence for the same seed. */
+/** Returns a pseudo-random integer from `min` to `max`, both included. */
 export type Draw = (min: number, max: number) => number;
 
-/** Creates the drawer of a seed. */
+/** Creates a function that draws the same sequence of integers each time it is created for a seed. */
 export function createDraw(seed: number): Draw {
   const generator = xoroshiro128plus(seed);
   return (min, max) => uniformInt(generator, min, max);
 }
 
-/** Draws faults that overlap, over a time. */
+/** Draws the faults of a run, which may overlap; returns them by their start. */
 export function drawFaults(
   draw: Draw,
   options: {
--- a/soak/src/guarantee_check.ts
+++ b/soak/src/guarantee_check.ts
@@ -1,33 +1,34 @@
 /**
- * Checks the promises from what callers and backend servers see.
+ * Checks the router's guarantees against the responses that callers received and the runs and keys of backend servers.
  *
  * @module
  */
 import type { PlatformFleet } from "@bamboolink/platform/testing";
 
-/** What a caller asked and got. */
+/** A request of a caller and its response. */
 export interface CompletedRequest {
   readonly id: string;
   readonly method: string;
   readonly path: string;
+  /** Status of the response, 0 if there was none. */
   readonly status: number;
   readonly body: string;
 }
 
-/** Statuses that promise that a request has not run. */
+/** Response statuses which guarantee that no backend server has run the request. */
 const REFUSAL_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-/** Keys that two living backend servers hold at this moment. */
+/** Returns a message for each range of keys that two live backend servers hold at the same time. */
 export function findDoubleHolds(fleet: PlatformFleet): string[] {
   const { hosts } = fleet;
   return hosts.flatMap(({ address, backend }, index) =>
     hosts.slice(index + 1).flatMap((other) =>
       backend.held.flatMap(({ from, to }) =>
         other.backend.held
-          .filter((hold) => hold.from <= to && hold.to >= from)
-          .map((hold) =>
-            `${address} and ${other.address} both hold ${
-              Math.max(from, hold.from)
+          .filter((otherHold) => otherHold.from <= to && otherHold.to >= from)
+          .map((otherHold) =>
+            `${address} and ${other.address} both hold key ${
+              Math.max(from, otherHold.from)
             }`
           )
       )
@@ -35,7 +36,7 @@
   );
 }
 
-/** Broken promises about requests, once no request is under way. */
+/** Returns a message for each violated guarantee about requests; call it when no request is in flight. */
 export function findRequestViolations(
   fleet: PlatformFleet,
   completedRequests: readonly CompletedRequest[],
@@ -53,11 +54,13 @@
         : []),
       ...(isNonIdempotent && runCount > 0 &&
           REFUSAL_STATUSES.has(request.status)
-        ? [`${request.id} was refused with ${request.status} and ran`]
+        ? [`${request.id} was refused with ${request.status} but ran`]
         : []),
       ...(request.status === 200 &&
           request.body !== `${request.method} ${request.path} `
-        ? [`${request.id} got the answer of another: ${request.body}`]
+        ? [
+          `${request.id} received the response of another request: ${request.body}`,
+        ]
         : []),
     ];
   });
--- a/soak/src/main.ts
+++ b/soak/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the soak by hand.
+ * Command line of the soak: runs seeds, `together` of them in parallel, and prints each that violates a guarantee.
  *
  * @module
  */
@@ -21,7 +21,7 @@
 );
 let failedCount = 0;
 
-/** Runs seeds one after the other on one network of loopback addresses. */
+/** Runs seeds one after the other until none is left; `network` is the second byte of their loopback addresses. */
 async function runSeeds(network: number): Promise<void> {
   const seed = seeds.shift();
   if (seed === undefined) {
@@ -49,5 +49,5 @@
     (_, index) => runSeeds(60 + index),
   ),
 );
-console.log(`${failedCount} seeds broke a promise`);
+console.log(`${failedCount} seeds violated a guarantee`);
 process.exit(failedCount === 0 ? 0 : 1);
--- a/soak/src/mod.ts
+++ b/soak/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * A randomized soak of real processes with faults from outside.
+ * A randomized soak test of real router processes with injected faults.
  *
  * @module
  */
--- a/soak/src/regression_seeds.ts
+++ b/soak/src/regression_seeds.ts
@@ -1,20 +1,19 @@
 /**
- * Seeds that broke a promise once, each with its cause. CI runs them all.
+ * Seeds that once violated a guarantee, each with its cause. CI runs them all.
  *
  * @module
  */
 
-/** A seed that broke a promise, and why. */
+/** A seed that violated a guarantee, and why. */
 export interface RegressionSeed {
   readonly seed: number;
   readonly cause: string;
-  /** Whether it was found with restarts under the same id and callers that keep connections. */
+  /** Whether its run has restarts of backend servers under their ids, and callers that pipeline requests. */
   readonly hasRestarts: boolean;
-  /** Whether with a store that comes back from an older copy, and requests that end servers. */
+  /** Whether its run has restores of the store from an older snapshot, and requests that crash backend servers. */
   readonly hasRollbacksAndLethalRequests: boolean;
 }
 
-/** Seeds that broke a promise once. */
 export const REGRESSION_SEEDS: readonly RegressionSeed[] = [
   {
     seed: 309,
--- a/soak/src/relay.ts
+++ b/soak/src/relay.ts
@@ -1,26 +1,26 @@
 /**
- * A relay on loopback between two processes, through which connections are harmed.
+ * A TCP relay on loopback between two processes, for injecting network faults into their connections.
  *
  * @module
  */
 import { connect, createServer, type Server, type Socket } from "node:net";
 
-/** How a relay treats what goes through it. */
+/** How a relay treats connections and their bytes. */
 export type RelayMode =
   | "pass"
-  /** Bytes wait a little each way. */
+  /** Bytes are delayed by `SLOW_DELAY_MS` in each direction. */
   | "slow"
-  /** Bytes from the server are kept back: one way is cut. */
+  /** Bytes from the server are dropped, those to the server pass. */
   | "one_way"
-  /** Nothing goes through, and nobody is told. */
+  /** Bytes are dropped in both directions, without an error at either end. */
   | "silent"
-  /** Connections are reset as they come. */
+  /** New connections are reset at once. */
   | "reset";
 
-/** Delay of a slow relay, in milliseconds. */
+/** Delay of bytes in the mode `slow`, in milliseconds. */
 const SLOW_DELAY_MS = 60;
 
-/** One relay. */
+/** A relay between one listening address and one target. */
 export class Relay {
   private mode: RelayMode = "pass";
   private readonly sockets = new Set<Socket>();
@@ -30,7 +30,7 @@
     private readonly target: { host: string; port: number },
   ) {}
 
-  /** Starts a relay at an address in front of another. */
+  /** Starts a relay that listens at `listenAddress` and connects to `target`. */
   static async create(
     listenAddress: { host: string; port: number },
     target: { host: string; port: number },
@@ -44,7 +44,7 @@
     return relay;
   }
 
-  /** Changes how it treats connections; `reset` harms those that are open, too. */
+  /** Changes the mode; `reset` also resets connections that are open. */
   setMode(mode: RelayMode): void {
     this.mode = mode;
     if (mode === "reset") {
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Stops it. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this.server.close();
     this.sockets.forEach((socket) => socket.destroy());
@@ -88,7 +88,7 @@
       !(this.mode === "one_way" && isFromServer);
   }
 
-  /** Bytes that meet a cut are lost, as they are when the cut outlasts the connection. */
+  /** Drops bytes while their direction is cut, as happens when a cut lasts longer than the connection. */
   private forwardBytes(
     bytes: Buffer,
     direction: { to: Socket; isFromServer: boolean },
--- a/soak/src/soak_run.ts
+++ b/soak/src/soak_run.ts
@@ -1,5 +1,5 @@
 /**
- * One run of the soak: a fleet, callers, faults, and the promises.
+ * One run of the soak: starts a fleet, sends requests, injects faults and checks the guarantees.
  *
  * @module
  */
@@ -24,44 +24,47 @@
 } from "./guarantee_check.ts";
 import { Relay, type RelayMode } from "./relay.ts";
 
+/** The service on each host. */
 const SERVICES = ["plain", "plain", "keyed", "keyed", "keyed"];
 /** Callers that send one request after the other. */
 const CALLER_COUNT = 6;
-/** Time between two looks at who holds what, in milliseconds. */
+/** Interval between two checks for keys that two backend servers hold, in milliseconds. */
 const HOLD_CHECK_INTERVAL_MS = 15;
-/** After the last fault, how long the fleet may take to serve everything again, in milliseconds. */
+/** Time after the last fault within which the fleet must serve all requests again, in milliseconds. */
 const RECOVERY_TIMEOUT_MS = 25_000;
 const KEY_COUNT = 65_536;
-/** Pause between restarts of a series, in milliseconds: about that between two heartbeats. */
+/** Pause between restarts of a series, in milliseconds; about the interval between two heartbeats. */
 const RESTART_PAUSE_MS = 350;
-/** What the copy lacks from which the store comes back, in milliseconds before it was away. */
+/** Age of the snapshot from which the store is restored, in milliseconds before the start of its outage. */
 const SNAPSHOT_AGE_MS = 5_000;
-/** A request for this ends each backend server without keys that runs it. */
+/** A request for this path crashes each backend server without keys that runs it. */
 const LETHAL_PATH = "/plain/lethal";
-/** So often such a request is sent, and the pause between, in milliseconds. */
+/** Number of such requests in one fault. */
 const LETHAL_REQUEST_COUNT = 6;
+/** Pause between them, in milliseconds. */
 const LETHAL_REQUEST_PAUSE_MS = 250;
-/** How long a server is away after its end, in milliseconds. */
+/** Time from such a crash to the restart of the backend server, in milliseconds. */
 const CRASH_RESTART_DELAY_MS = 500;
-/** Callers that send ahead on a connection until it ends. */
+/** Callers that pipeline requests on a connection until it is closed. */
 const PIPELINING_CALLER_COUNT = 2;
 
-/** How a run ended. */
+/** Result of a run. */
 export interface SoakResult {
   readonly seed: number;
   readonly requestCount: number;
   readonly servedCount: number;
   readonly faults: readonly Fault[];
-  /** Broken promises, in words; none if all was well. */
+  /** A message for each violated guarantee. */
   readonly violations: readonly string[];
 }
 
 /**
- * Runs one seed.
+ * Runs one seed on a fleet of its own.
  *
- * @param options `network`: the second number of the loopback addresses, so that runs side by side don't meet;
- *   `hasRestarts`: whether backend servers restart under their ids and callers keep connections, which seeds of before
- *   did not have; `hasRollbacksAndLethalRequests`: the same of a store that comes back from an older copy and of requests that end servers.
+ * @param options `durationMs`: time within which faults start, in milliseconds; `network`: second byte of the loopback
+ *   addresses, different for runs at the same time; `hasRestarts`: whether backend servers restart under their ids and
+ *   callers pipeline requests; `hasRollbacksAndLethalRequests`: whether the store is restored from older snapshots and
+ *   requests crash backend servers. Both are on by default; older seeds were found without them.
  */
 export async function runSoak(
   seed: number,
@@ -97,9 +100,9 @@
 class SoakRun {
   private readonly completedRequests: CompletedRequest[] = [];
   private readonly violations = new Set<string>();
-  /** What the last look at the recovery found, for the report. */
+  /** Requests that failed at the last check of the recovery, for the message. */
   private unservedRequests: string[] = [];
-  /** Hosts whose backend servers are being started, since series of faults overlap. */
+  /** Hosts whose backend servers are being started; prevents a second start, since series of faults overlap. */
   private readonly startingHosts = new Set<FleetHost>();
   private isOver = false;
   private configurationVersion = 1;
@@ -142,7 +145,7 @@
     await Promise.all(faults.map((fault) => this.inject(fault)));
     if (!await this.awaitRecovery()) {
       this.violations.add(
-        `the fleet does not serve everything again: ${
+        `the fleet did not recover after the last fault; failed requests: ${
           this.unservedRequests.join(", ")
         }`,
       );
@@ -190,10 +193,14 @@
     }
   }
 
-  /** Sends on one connection for as long as the daemon keeps it, also while that stops. */
+  /** Pipelines requests on a connection until the daemon closes it, also while the daemon stops; opens the next. */
   private async runPipeliningCaller(callerIndex: number): Promise<void> {
-    for (let count = callerIndex; !this.isOver; count += 1) {
-      const host = this.fleet.hosts[count % this.fleet.hosts.length]!;
+    for (
+      let connectionIndex = callerIndex;
+      !this.isOver;
+      connectionIndex += 1
+    ) {
+      const host = this.fleet.hosts[connectionIndex % this.fleet.hosts.length]!;
       const connection = await this.fleet.openPipelined(host).catch(() =>
         undefined
       );
@@ -209,12 +216,12 @@
     }
   }
 
-  /** What was answered on one connection was asked there, each once and in order. */
+  /** Checks that the responses on a connection belong to requests sent on it, each once and in order. */
   private checkResponseOrder({ answeredIds, sentIds }: PipeliningCaller): void {
     const expected = sentIds.slice(0, answeredIds.length);
     if (answeredIds.join() !== expected.join()) {
       this.violations.add(
-        `${answeredIds.join()} were answered to ${sentIds.join()}`,
+        `responses to ${answeredIds.join()} on a connection with the requests ${sentIds.join()}`,
       );
     }
   }
@@ -287,7 +294,7 @@
     }
   }
 
-  /** Has a request end each backend server that runs it, and sends it at one host after the other. */
+  /** Makes a request crash each backend server that runs it, and sends it to one host after the other. */
   private async sendLethalRequests(): Promise<void> {
     for (let count = 0; count < LETHAL_REQUEST_COUNT; count += 1) {
       this.fleet.hosts.forEach((host) => {
@@ -316,7 +323,7 @@
   ): Promise<void> {
     this.relay.setMode(mode);
     await sleep(fault.forMs);
-    // Connections that a cut has harmed don't come back by themselves.
+    // Connections that lost bytes during a cut don't recover on their own.
     this.relay.setMode("reset");
     this.relay.setMode("pass");
   }
--- a/soak/src/soak_test.ts
+++ b/soak/src/soak_test.ts
@@ -1,5 +1,5 @@
 /**
- * A short seeded run of the soak, and every seed that broke a promise once.
+ * Runs the soak briefly with one fixed seed, and with every seed that once violated a guarantee.
  *
  * @module
  */
