--- a/packages/admission/src/work_queue.ts
+++ b/packages/admission/src/work_queue.ts
@@ -50,7 +50,7 @@
 /** A request counts as short up to this share of the mean estimate. */
 const SHORT_REQUEST_SHARE = 0.4;
 /** Lower bound for the typical duration of a request, in milliseconds, whatever its estimate. */
-const MIN_SERVICE_MS = 1;
+const MIN_MAX_TYPICAL_MS = 1;
 /** Durations of requests of one route typically vary by up to this factor; few take longer. */
 const TYPICAL_SPREAD_FACTOR = 1.3;
 /** Minimum remaining time of a running request, as a share of its estimate. */
@@ -66,7 +66,7 @@
 export class WorkQueue {
   private readonly running = new Map<number, RunningRequest>();
   /** Requests that can meet their objective, the most urgent first. */
-  private onTime: WorkRequest[] = [];
+  private mainQueue: WorkRequest[] = [];
   /** Requests that miss their objective but can finish before their deadline. */
   private readonly lateQueue = LateRequestQueue.create();
   private slots = 0;
@@ -95,7 +95,7 @@
 
   /** Number of waiting requests, on time and late. */
   get waitingCount(): number {
-    return this.onTime.length + this.lateQueue.size;
+    return this.mainQueue.length + this.lateQueue.size;
   }
 
   /** Starts, queues or refuses a request that has just arrived. */
@@ -138,9 +138,9 @@
 
   /** Removes a waiting request, for example because its caller disconnected; returns whether it was waiting. */
   cancel(id: number): boolean {
-    const before = this.onTime.length;
-    this.onTime = this.onTime.filter((request) => request.id !== id);
-    return this.onTime.length < before || this.lateQueue.remove(id);
+    const before = this.mainQueue.length;
+    this.mainQueue = this.mainQueue.filter((request) => request.id !== id);
+    return this.mainQueue.length < before || this.lateQueue.remove(id);
   }
 
   /** Fills free slots, and refuses requests that can no longer be served before their deadline. */
@@ -158,7 +158,7 @@
 
   /** Expected wait of a request of the lowest urgency that arrives now, in milliseconds. */
   waitMs(nowMs: number): number {
-    return this.waitBehindMs(this.onTime, nowMs);
+    return this.waitBehindMs(this.mainQueue, nowMs);
   }
 
   /** Whether a slot is free and the pacer allows another start. */
@@ -168,11 +168,11 @@
   }
 
   private takeNext(): WorkRequest {
-    return this.onTime.shift() ?? this.lateQueue.take();
+    return this.mainQueue.shift() ?? this.lateQueue.take();
   }
 
   private waitAheadMs(request: WorkRequest, nowMs: number): number {
-    const ahead = this.onTime.filter((other) =>
+    const ahead = this.mainQueue.filter((other) =>
       compareUrgency(other, request) <= 0
     );
     return this.waitBehindMs(ahead, nowMs);
@@ -234,7 +234,7 @@
    * work waits for while it holds a slot: refusing one saves little slot time and wastes that of the work that waits.
    */
   private isShort(request: WorkRequest): boolean {
-    const others = [...this.running.values(), ...this.onTime];
+    const others = [...this.running.values(), ...this.mainQueue];
     const sum = others.reduce((total, { estimateMs }) => total + estimateMs, 0);
     return request.estimateMs * others.length <= sum * SHORT_REQUEST_SHARE;
   }
@@ -242,7 +242,8 @@
   /** Whether any running request, or any waiting one that is on time, is less urgent. */
   private hasLessUrgent(request: WorkRequest): boolean {
     const isLess = ({ rank }: { rank: number }) => rank > request.rank;
-    return this.onTime.some(isLess) || [...this.running.values()].some(isLess);
+    return this.mainQueue.some(isLess) ||
+      [...this.running.values()].some(isLess);
   }
 
   private start(request: WorkRequest, nowMs: number): void {
@@ -258,17 +259,21 @@
   }
 
   private insert(request: WorkRequest): void {
-    const index = this.onTime.findIndex((other) =>
+    const index = this.mainQueue.findIndex((other) =>
       compareUrgency(other, request) > 0
     );
-    this.onTime.splice(index < 0 ? this.onTime.length : index, 0, request);
+    this.mainQueue.splice(
+      index < 0 ? this.mainQueue.length : index,
+      0,
+      request,
+    );
   }
 
   private dropUnmeetable(nowMs: number): QueueChanges["refuse"] {
-    const unmeetable = this.onTime.filter((request) =>
+    const unmeetable = this.mainQueue.filter((request) =>
       nowMs + request.estimateMs > request.deadlineAtMs
     );
-    this.removeOnTime(unmeetable);
+    this.removeFromMainQueue(unmeetable);
     const lateUnmeetable = this.lateQueue.size === 0
       ? []
       : this.lateQueue.dropUnmeetable(this.forecastLateStart(nowMs));
@@ -286,13 +291,13 @@
    * refuses them. Kept in place, they would make the requests behind them late, too.
    */
   private demoteOvertaken(nowMs: number): QueueChanges["refuse"] {
-    const overtaken = this.onTime.filter((request) =>
+    const overtaken = this.mainQueue.filter((request) =>
       missesObjective(request, nowMs) && !this.isWorthRunningLate(request)
     );
     if (overtaken.length === 0) {
       return [];
     }
-    this.removeOnTime(overtaken);
+    this.removeFromMainQueue(overtaken);
     const forecast = this.forecastLateStart(nowMs);
     return overtaken
       .filter((request) =>
@@ -306,9 +311,9 @@
     return { nowMs, startMs: nowMs + this.waitMs(nowMs) };
   }
 
-  private removeOnTime(requests: readonly WorkRequest[]): void {
+  private removeFromMainQueue(requests: readonly WorkRequest[]): void {
     if (requests.length > 0) {
-      this.onTime = this.onTime.filter((request) =>
+      this.mainQueue = this.mainQueue.filter((request) =>
         !requests.includes(request)
       );
     }
@@ -331,7 +336,7 @@
 
 /** Longest typical duration of a request, in milliseconds; beyond it the server is assumed to be slow. */
 function maxTypicalMs({ estimateMs }: RunningRequest): number {
-  return Math.max(MIN_SERVICE_MS, estimateMs * TYPICAL_SPREAD_FACTOR);
+  return Math.max(MIN_MAX_TYPICAL_MS, estimateMs * TYPICAL_SPREAD_FACTOR);
 }
 
 /** Whether a request that starts at the given time is expected to miss its objective. */
--- a/packages/keyspace/src/grant_tracker.ts
+++ b/packages/keyspace/src/grant_tracker.ts
@@ -24,7 +24,7 @@
  * Default hold, in milliseconds: long enough to outlast a restart of the daemon (about 2 s) and a late heartbeat; short
  * enough that the keys of an unresponsive backend server are free within seconds.
  */
-export const DEFAULT_HOLD_MS = 5_000;
+export const MAX_HOLD_MS = 5_000;
 
 /** A range and the fencing token under which it is held. */
 export interface HeldRange extends KeyRange {
@@ -83,7 +83,7 @@
     const tracker = new GrantTracker();
     tracker.extend(
       { from: 0, to: KEY_COUNT - 1 },
-      nowMs + DEFAULT_HOLD_MS * (1 + CLOCK_DRIFT),
+      nowMs + MAX_HOLD_MS * (1 + CLOCK_DRIFT),
     );
     return tracker;
   }
@@ -181,7 +181,7 @@
       return;
     }
     held.forEach((range) => {
-      this.extend(range, nowMs + DEFAULT_HOLD_MS * (1 + CLOCK_DRIFT));
+      this.extend(range, nowMs + MAX_HOLD_MS * (1 + CLOCK_DRIFT));
       this.tokens.within(range).forEach((own) =>
         this.tokens.set(own, { token: range.token, handover: "" })
       );
@@ -206,14 +206,14 @@
   /**
    * Creates the grant for the response to a heartbeat.
    *
-   * @param limits `maxHoldMs`: the remaining time of the daemon's lease, on the backend server's clock from the
+   * @param limits `leaseRemainingMs`: the remaining time of the daemon's lease, on the backend server's clock from the
    *   heartbeat's arrival; `processingMs`: time from the heartbeat's arrival to the response.
    */
   createGrant(
-    limits: { maxHoldMs: number; nowMs: number; processingMs: number },
+    limits: { leaseRemainingMs: number; nowMs: number; processingMs: number },
   ): Grant {
-    const { maxHoldMs, nowMs, processingMs } = limits;
-    const holdMs = Math.min(DEFAULT_HOLD_MS, maxHoldMs);
+    const { leaseRemainingMs, nowMs, processingMs } = limits;
+    const holdMs = Math.min(MAX_HOLD_MS, leaseRemainingMs);
     const ranges = holdMs <= 0 ? [] : this.grantable();
     ranges.forEach((range) => {
       this.extend(range, nowMs + holdMs * (1 + CLOCK_DRIFT));
--- a/packages/keyspace/src/mod.ts
+++ b/packages/keyspace/src/mod.ts
@@ -30,11 +30,11 @@
   TakeoverTimers,
 } from "./ownership_lease.ts";
 export {
-  DEFAULT_HOLD_MS,
   type Grant,
   type GrantedRange,
   GrantTracker,
   type HeldRange,
+  MAX_HOLD_MS,
   type ReleasedRange,
 } from "./grant_tracker.ts";
 export {
--- a/packages/keyspace/src/ownership_lease.ts
+++ b/packages/keyspace/src/ownership_lease.ts
@@ -152,7 +152,7 @@
    * The longest hold that may be granted now, in milliseconds on the backend server's clock; 0 where none may be. It
    * allows for clock drift, so that a backend server with a slow clock does not hold keys after the lease has expired.
    */
-  maxHoldMs(nowMs: number): number {
+  remainingMs(nowMs: number): number {
     const remainingMs = (this.expiresAtMs - nowMs) / (1 + CLOCK_DRIFT);
     return Math.max(0, Math.floor(remainingMs));
   }
--- a/packages/keyspace/src/ownership_lease_test.ts
+++ b/packages/keyspace/src/ownership_lease_test.ts
@@ -53,7 +53,7 @@
       lease.confirm(1_000, { arbiters: [], revision: 1 });
       lease.recordPromise("one", 1_000);
       lease.reset();
-      expect(lease.maxHoldMs(1_001)).to.equal(0);
+      expect(lease.remainingMs(1_001)).to.equal(0);
     });
   });
 });
--- a/packages/keyspace/src/testing/ownership_simulation.ts
+++ b/packages/keyspace/src/testing/ownership_simulation.ts
@@ -553,7 +553,7 @@
     host.grants.raiseTokens(heartbeat.holds);
     host.handovers.push(...host.grants.recordReleased(heartbeat.freed));
     return host.grants.createGrant({
-      maxHoldMs: host.lease.maxHoldMs(nowMs),
+      leaseRemainingMs: host.lease.remainingMs(nowMs),
       nowMs,
       processingMs: 0,
     });
--- a/packages/membership/src/member.ts
+++ b/packages/membership/src/member.ts
@@ -34,7 +34,7 @@
   sequence: z.int().min(0),
   availabilityZone: z.string(),
   /** Address on which the daemon accepts forwarded requests. */
-  forwardAddress: z.string(),
+  peerAddress: z.string(),
   /** Service of the backend server on the daemon's host. */
   service: z.string(),
   phase: MemberPhase,
--- a/packages/membership/src/membership_test.ts
+++ b/packages/membership/src/membership_test.ts
@@ -16,7 +16,7 @@
     incarnation: 1,
     sequence: 0,
     availabilityZone: "zone-a",
-    forwardAddress: "10.0.0.1:8000",
+    peerAddress: "10.0.0.1:8000",
     service: "quotes",
     phase: "ready",
     slots: 6,
--- a/packages/membership/src/report_row.ts
+++ b/packages/membership/src/report_row.ts
@@ -22,7 +22,7 @@
     incarnation,
     sequence,
     availabilityZone,
-    forwardAddress,
+    peerAddress,
     service,
     phase,
     slots,
@@ -36,7 +36,7 @@
   ] = row;
   const isValid = isString(address) && address !== "" &&
     isNonNegativeInteger(incarnation) && isNonNegativeInteger(sequence) &&
-    isString(availabilityZone) && isString(forwardAddress) &&
+    isString(availabilityZone) && isString(peerAddress) &&
     isString(service) &&
     isPhase(phase) && isNonNegativeInteger(slots) &&
     isNonNegativeNumber(waitMs) && isNonNegativeNumber(serviceMs) &&
@@ -51,7 +51,7 @@
       incarnation,
       sequence,
       availabilityZone,
-      forwardAddress,
+      peerAddress,
       service,
       phase,
       slots,
--- a/packages/membership/src/report_row_test.ts
+++ b/packages/membership/src/report_row_test.ts
@@ -15,7 +15,7 @@
   incarnation: 1,
   sequence: 7,
   availabilityZone: "zone-a",
-  forwardAddress: "10.0.0.1:8000",
+  peerAddress: "10.0.0.1:8000",
   service: "quotes",
   phase: "ready",
   slots: 6,
--- a/packages/router/src/attempt_history.ts
+++ b/packages/router/src/attempt_history.ts
@@ -16,7 +16,7 @@
 /** The attempts for one request. */
 export class AttemptHistory {
   private readonly triedDaemons = new Set<string>();
-  private arrivalCount = 0;
+  private sentCount = 0;
   private brokenCount = 0;
   private lastOutcome: Outcome = notRun("no_backend");
   /** The latest outcome of an attempt that may have run. */
@@ -37,8 +37,8 @@
   }
 
   /** Number of attempts that reached a backend server, or may have. */
-  get arrivals(): number {
-    return this.arrivalCount;
+  get sentAttempts(): number {
+    return this.sentCount;
   }
 
   /** Number of connections to backend servers that broke while the request was running. */
@@ -56,7 +56,7 @@
       this.lastPossibleRun = outcome;
     }
     if (outcome.kind !== "not_run" || outcome.hasArrived) {
-      this.arrivalCount += 1;
+      this.sentCount += 1;
     }
     if (outcome.kind === "unknown" && outcome.reason === "backend_lost") {
       this.brokenCount += 1;
--- a/packages/router/src/attempt_history_test.ts
+++ b/packages/router/src/attempt_history_test.ts
@@ -65,7 +65,7 @@
     history.record("a", notRun("overloaded"));
     history.record("b", notRun("not_executed", { hasArrived: true }));
     history.record("c", unknown("connection_lost"));
-    expect(history.arrivals).to.equal(2);
+    expect(history.sentAttempts).to.equal(2);
     expect([...history.tried]).to.deep.equal(["a", "b", "c"]);
   });
 });
--- a/packages/router/src/backend_manager.ts
+++ b/packages/router/src/backend_manager.ts
@@ -44,7 +44,7 @@
   /** Whether the zone is evacuated, so that the backend server on this host is to get no further requests or keys. */
   readonly isEvacuated: boolean;
   /** When the handover of keys and the forwarding of queued requests end, on the monotonic clock, in milliseconds. */
-  readonly handOverUntilMs: number;
+  readonly handoverEndsAtMs: number;
   /** Waits until it is known which zones are evacuated; returns false if that is still unknown. */
   awaitKnown(): Promise<boolean>;
 }
@@ -149,7 +149,7 @@
     const drainForwardEndMs = this.drainStartedAtMs +
       drainMs() * DRAIN_FORWARD_SHARE;
     return evacuation.isEvacuated
-      ? Math.min(drainForwardEndMs, evacuation.handOverUntilMs)
+      ? Math.min(drainForwardEndMs, evacuation.handoverEndsAtMs)
       : drainForwardEndMs;
   }
 
@@ -347,9 +347,9 @@
     const respondedAtMs = bootMs();
     // The hold counts from when the heartbeat was sent, so the time since its arrival is deducted.
     const processingMs = respondedAtMs - nowMs;
-    const maxHoldMs = lease.maxHoldMs(nowMs);
+    const leaseRemainingMs = lease.remainingMs(nowMs);
     const grant = grants.createGrant({
-      maxHoldMs,
+      leaseRemainingMs,
       nowMs: respondedAtMs,
       processingMs,
     });
--- a/packages/router/src/backend_manager_test.ts
+++ b/packages/router/src/backend_manager_test.ts
@@ -32,7 +32,7 @@
 } {
   return {
     isEvacuated: false,
-    handOverUntilMs: Infinity,
+    handoverEndsAtMs: Infinity,
     awaitKnown: () => Promise.resolve(true),
   };
 }
--- a/packages/router/src/configuration_manager.ts
+++ b/packages/router/src/configuration_manager.ts
@@ -76,7 +76,7 @@
       return;
     }
     this.isFetching = true;
-    void this.context.peerClient.fetchConfiguration(report.forwardAddress)
+    void this.context.peerClient.fetchConfiguration(report.peerAddress)
       .match(
         (text) => this.applyDocument(text, report.address),
         (cause) =>
--- a/packages/router/src/decoders_test.ts
+++ b/packages/router/src/decoders_test.ts
@@ -62,7 +62,7 @@
       incarnation: 1,
       sequence: 7,
       availabilityZone: "a",
-      forwardAddress: "10.0.0.1:7621",
+      peerAddress: "10.0.0.1:7621",
       service: "rooms",
       phase: "ready",
       slots: 6,
--- a/packages/router/src/evacuation_manager.ts
+++ b/packages/router/src/evacuation_manager.ts
@@ -65,7 +65,7 @@
   private requestedAtMs = -Infinity;
   private repeatedAtMs = -Infinity;
   private changedAtMs = -Infinity;
-  private handOverDeadlineMs = Infinity;
+  private handoverEndMs = Infinity;
   private wasEvacuated = false;
 
   private constructor(private readonly context: EvacuationManagerContext) {
@@ -83,8 +83,8 @@
   }
 
   /** Until when keys are handed over and waiting requests still run, in milliseconds on the monotonic clock. */
-  get handOverUntilMs(): number {
-    return this.handOverDeadlineMs;
+  get handoverEndsAtMs(): number {
+    return this.handoverEndMs;
   }
 
   /** Whether the evacuated zones are known, or assumed to be none after `MAX_UNKNOWN_MS`. */
@@ -180,7 +180,7 @@
     }
     if (this.isEvacuated !== this.wasEvacuated) {
       this.wasEvacuated = this.isEvacuated;
-      this.handOverDeadlineMs = isRecent
+      this.handoverEndMs = isRecent
         ? nowMs() + evacuateMs() * HANDOVER_SHARE
         : -Infinity;
       onChange();
--- a/packages/router/src/evacuation_manager_test.ts
+++ b/packages/router/src/evacuation_manager_test.ts
@@ -49,7 +49,7 @@
       advance(SECOND_MS);
       manager.applyChange({ revision: 2, zone: "a", isEvacuated: true });
       expect(manager.isEvacuated).to.equal(true);
-      expect(manager.handOverUntilMs).to.be.within(
+      expect(manager.handoverEndsAtMs).to.be.within(
         SECOND_MS,
         SECOND_MS + EVACUATE_MS / 2,
       );
@@ -61,10 +61,10 @@
     it("does not extend the time when another zone is evacuated", () => {
       const { manager, advance } = createManager();
       manager.applyChange({ revision: 2, zone: "a", isEvacuated: true });
-      const deadlineMs = manager.handOverUntilMs;
+      const deadlineMs = manager.handoverEndsAtMs;
       advance(SECOND_MS);
       manager.applyChange({ revision: 3, zone: "b", isEvacuated: true });
-      expect(manager.handOverUntilMs).to.equal(deadlineMs);
+      expect(manager.handoverEndsAtMs).to.equal(deadlineMs);
     });
   });
 
@@ -81,7 +81,7 @@
         zones: ["a"],
       });
       expect(
-        [fromStore, fromPeer].map(({ handOverUntilMs }) => handOverUntilMs),
+        [fromStore, fromPeer].map(({ handoverEndsAtMs }) => handoverEndsAtMs),
       )
         .to.deep.equal([-Infinity, -Infinity]);
     });
--- a/packages/router/src/gossip_node.ts
+++ b/packages/router/src/gossip_node.ts
@@ -31,7 +31,7 @@
  * Number of daemons to which a datagram is repeated, although nearly all have received it already. Each daemon repeats
  * it to as many, so each also receives it about as often.
  */
-const SUBSET_SIZE = 2;
+const REPEAT_FANOUT = 2;
 const MAX_PORT = 65_535;
 
 /** Dependencies of a gossip node. */
@@ -108,7 +108,7 @@
   sendToSome(datagram: Datagram): void {
     const { view, random } = this.context;
     const alive = view.alive(monotonicMs());
-    sampleWithoutReplacement(alive, { count: SUBSET_SIZE, random })
+    sampleWithoutReplacement(alive, { count: REPEAT_FANOUT, random })
       .forEach(({ address }) => this.sendDatagram(datagram, address));
   }
 
--- a/packages/router/src/gossip_node_test.ts
+++ b/packages/router/src/gossip_node_test.ts
@@ -24,7 +24,7 @@
   incarnation: 1,
   sequence: 7,
   availabilityZone: "a",
-  forwardAddress: "127.0.0.1:21778",
+  peerAddress: "127.0.0.1:21778",
   service: "rooms",
   phase: "ready",
   slots: 6,
--- a/packages/router/src/ownership_lease_manager_test.ts
+++ b/packages/router/src/ownership_lease_manager_test.ts
@@ -58,7 +58,7 @@
   const { manager, lease } = createManager(stored);
   manager.tick();
   await nextTurn();
-  return lease.maxHoldMs(bootMs()) > 0;
+  return lease.remainingMs(bootMs()) > 0;
 }
 
 describe("ownership lease manager", () => {
@@ -91,7 +91,7 @@
       const askedAtMs = bootMs() - 300;
       manager.onSharedRead({ service: SERVICE, askedAtMs, revision: 8 });
       await nextTurn();
-      expect(lease.maxHoldMs(bootMs())).to.equal(0);
+      expect(lease.remainingMs(bootMs())).to.equal(0);
       manager.onSharedRead({ service: SERVICE, askedAtMs, revision: 7 });
       expect(lease.confirmationAgeMs(askedAtMs)).to.equal(0);
     });
--- a/packages/router/src/request_runner.ts
+++ b/packages/router/src/request_runner.ts
@@ -112,7 +112,7 @@
       if (target === undefined) {
         return history.toFinalOutcome();
       }
-      if (!this.mayAttempt(current, history.arrivals, maximumAttempts)) {
+      if (!this.mayAttempt(current, history.sentAttempts, maximumAttempts)) {
         return history.toFinalOutcome();
       }
       const outcome = await this.attempt(current, {
@@ -140,13 +140,13 @@
   /** Whether an attempt may be made. A retry of a request that may have run is charged to the retry budget. */
   private mayAttempt(
     request: RoutedRequest,
-    arrivals: number,
+    sentAttempts: number,
     maximumAttempts: number,
   ): boolean {
-    if (arrivals === 0) {
+    if (sentAttempts === 0) {
       return true;
     }
-    if (!this.hasRetryAllowance(request, arrivals, maximumAttempts)) {
+    if (!this.hasRetryAllowance(request, sentAttempts, maximumAttempts)) {
       return false;
     }
     this.context.budget.recordRetry(request.service, monotonicMs());
@@ -166,7 +166,11 @@
     const tried = new Set([...history.tried, target.address]);
     return request.isIdempotent &&
       !this.context.directory.isKeyed(request.service) &&
-      this.hasRetryAllowance(request, history.arrivals + 1, maximumAttempts) &&
+      this.hasRetryAllowance(
+        request,
+        history.sentAttempts + 1,
+        maximumAttempts,
+      ) &&
       this.choose(request, tried) !== undefined;
   }
 
@@ -245,13 +249,13 @@
 
   private hasRetryAllowance(
     request: RoutedRequest,
-    arrivals: number,
+    sentAttempts: number,
     maximumAttempts: number,
   ): boolean {
     const { budget, view, loadTracker } = this.context;
     const nowMs = monotonicMs();
     const typicalMs = loadTracker.typicalMs(request.route);
-    return arrivals < maximumAttempts &&
+    return sentAttempts < maximumAttempts &&
       request.deadlineAtMs - nowMs > typicalMs * MIN_RETRY_TIME_SHARE &&
       budget.allows(request.service, {
         nowMs,
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -486,7 +486,7 @@
       this.loadTracker.recordLoad(report.address, report, nowMs);
       this.configuration.handlePeerReport(report);
       if (report.ownershipRevision > this.directory.revision) {
-        this.fetchOwnership(report.forwardAddress);
+        this.fetchOwnership(report.peerAddress);
       }
     });
   }
@@ -499,7 +499,7 @@
           this.directory.updateFromPeer({ service, revision, text });
           return;
         }
-        const address = this.view.find(sender)?.forwardAddress;
+        const address = this.view.find(sender)?.peerAddress;
         if (address !== undefined) {
           this.fetchOwnership(address);
         }
@@ -662,7 +662,7 @@
     const relays = this.view.alive(monotonicMs())
       .filter(({ reachesStore }) => reachesStore);
     const index = Math.floor(this.ports.random() * relays.length);
-    return relays[index]?.forwardAddress;
+    return relays[index]?.peerAddress;
   }
 
   private createWatcher(): StoreWatcher {
@@ -780,7 +780,7 @@
     incarnation: 1,
     sequence: 0,
     availabilityZone: settings.availabilityZone,
-    forwardAddress: settings.peerAddress,
+    peerAddress: settings.peerAddress,
     service: settings.service,
     phase: "absent",
     slots: 0,
--- a/packages/store/src/outage_backoff.ts
+++ b/packages/store/src/outage_backoff.ts
@@ -14,7 +14,7 @@
 /** Exponential backoff with jitter. Pure: time and randomness are parameters. */
 export class OutageBackoff {
   private failures = 0;
-  private closedUntilMs = -Infinity;
+  private pausedUntilMs = -Infinity;
 
   private constructor() {}
 
@@ -25,7 +25,7 @@
 
   /** Whether a call may be made now. */
   mayCall(nowMs: number): boolean {
-    return nowMs >= this.closedUntilMs;
+    return nowMs >= this.pausedUntilMs;
   }
 
   /** Records a call that got no response; `random` is a number in [0, 1). */
@@ -35,12 +35,12 @@
       INITIAL_PAUSE_MS * 2 ** this.failures,
     );
     this.failures = Math.min(this.failures + 1, 10);
-    this.closedUntilMs = nowMs + maxPauseMs * (0.5 + random / 2);
+    this.pausedUntilMs = nowMs + maxPauseMs * (0.5 + random / 2);
   }
 
   /** Records a response of any status, and allows calls again. */
   recordResponse(): void {
     this.failures = 0;
-    this.closedUntilMs = -Infinity;
+    this.pausedUntilMs = -Infinity;
   }
 }
