--- a/packages/admission/src/work_queue.ts
+++ b/packages/admission/src/work_queue.ts
@@ -1,13 +1,15 @@
 /**
- * Admission control of the router for one backend server: decides which requests run, wait or are refused. `SlotQueue`,
- * that of the `daemon` package, has only two priority classes and deadlines.
+ * Admission control of the router for one backend server: decides which requests run, wait or are refused. The `daemon`
+ * package uses `SlotQueue` instead, which has only two priority classes and deadlines.
  *
  * Designed for overload that lasts for seconds, in which requests of different urgency and length compete for the
  * slots, and in which a response after the deadline is wasted work.
  *
- * Requests wait in two queues. Those that can still meet their latency objective run first, and no request that is
- * already late takes a slot from them. Late requests get the remaining slots, as long as they are expected to finish
- * before their deadline: load fluctuates, and a late response serves a caller better than a refusal.
+ * Requests wait in two queues. Those of the main queue run first, and no request of the late queue takes a slot from
+ * them. The main queue holds requests that can still meet their latency objective and, although they will miss it,
+ * short ones and those that are more urgent than another one that runs or waits in it. Other late requests get the
+ * remaining slots, as long as they are expected to finish before their deadline: load fluctuates, and a late response
+ * serves a caller better than a refusal.
  *
  * @module
  */
@@ -41,15 +43,15 @@
  */
 const MAX_WAITING_PER_SLOT = 40;
 /**
- * Safety margin on estimates: a request is admitted to the on-time queue only if it is expected to meet its objective
- * even when it takes this share of its estimate longer. Under overload the queue fills until the next request would
+ * Safety margin on estimates: a request counts as on time only if it is expected to meet its objective even when it
+ * takes this share of its estimate longer. Under overload the queue fills until the next request would
  * just miss the limit, so all requests finish close to it. With the limit at the objective itself, half of them are
  * late; with any allowance beyond it, nearly all are, and only 24 of 564 requests are on time.
  */
 const ESTIMATE_MARGIN = 0.25;
 /** A request counts as short up to this share of the mean estimate. */
 const SHORT_REQUEST_SHARE = 0.4;
-/** Lower bound for the typical duration of a request, in milliseconds, whatever its estimate. */
+/** Lower bound of `maxTypicalMs`, in milliseconds, whatever the estimate. */
 const MIN_MAX_TYPICAL_MS = 1;
 /** Durations of requests of one route typically vary by up to this factor; few take longer. */
 const TYPICAL_SPREAD_FACTOR = 1.3;
@@ -65,9 +67,9 @@
 /** The waiting and running requests of one backend server, on time and late. */
 export class WorkQueue {
   private readonly running = new Map<number, RunningRequest>();
-  /** Requests that can meet their objective, the most urgent first. */
+  /** Requests that can meet their objective or are worth running late, the most urgent first. */
   private mainQueue: WorkRequest[] = [];
-  /** Requests that miss their objective but can finish before their deadline. */
+  /** Other requests that miss their objective but can finish before their deadline. */
   private readonly lateQueue = LateRequestQueue.create();
   private slots = 0;
 
@@ -93,7 +95,7 @@
     return this.running.size;
   }
 
-  /** Number of waiting requests, on time and late. */
+  /** Number of waiting requests in both queues. */
   get waitingCount(): number {
     return this.mainQueue.length + this.lateQueue.size;
   }
@@ -224,7 +226,7 @@
       : { ...request, estimateMs: request.estimateMs * slowdown };
   }
 
-  /** Whether a request keeps its place in the on-time queue even though it is expected to miss its objective. */
+  /** Whether a request keeps its place in the main queue even though it is expected to miss its objective. */
   private isWorthRunningLate(request: WorkRequest): boolean {
     return this.hasLessUrgent(request) || this.isShort(request);
   }
@@ -239,7 +241,7 @@
     return request.estimateMs * others.length <= sum * SHORT_REQUEST_SHARE;
   }
 
-  /** Whether any running request, or any waiting one that is on time, is less urgent. */
+  /** Whether any request that runs or waits in the main queue is less urgent. */
   private hasLessUrgent(request: WorkRequest): boolean {
     const isLess = ({ rank }: { rank: number }) => rank > request.rank;
     return this.mainQueue.some(isLess) ||
@@ -306,7 +308,7 @@
       .map(({ id }) => ({ id, reason: "overloaded" as const }));
   }
 
-  /** When the first late request would start if no more on-time requests arrived. */
+  /** When the first request of the late queue would start if no more requests joined the main queue. */
   private forecastLateStart(nowMs: number): { nowMs: number; startMs: number } {
     return { nowMs, startMs: nowMs + this.waitMs(nowMs) };
   }
--- a/packages/backend_standin/src/backend_standin.ts
+++ b/packages/backend_standin/src/backend_standin.ts
@@ -78,7 +78,7 @@
   }
 
   /**
-   * Listens on loopback, starts to announce itself and returns the port; 0 lets the system choose one. Rejects where
+   * Listens on loopback, starts to announce itself and returns the port; 0 lets the system choose one. Rejects if
    * the port can't be bound.
    */
   async listen(port: number): Promise<number> {
--- a/packages/burn/src/burn_report.ts
+++ b/packages/burn/src/burn_report.ts
@@ -49,7 +49,7 @@
   readonly withinMs: number;
   readonly short: WindowBurn;
   readonly long: WindowBurn;
-  /** Remaining share of the error budget of the long window; negative where it is overspent. */
+  /** Remaining share of the error budget of the long window; negative if it is overspent. */
   readonly budgetLeft: number;
   readonly causes: readonly BurnCause[];
   /** Burn rate between each pair of consecutive samples, for a plot. */
@@ -136,8 +136,8 @@
 
 /**
  * Computes the requests of a service between two samples, by host, operation and outcome. A counter that decreased
- * belongs to a daemon that restarted, so its increase is counted from 0. Counts requests at the entrance daemon only,
- * because the owner counts a forwarded request as well.
+ * belongs to a daemon that restarted, so its increase is counted from 0. Counts a request only at the daemon
+ * that received it from the caller (`hop` = `entrance`), because the owner counts a forwarded request as well.
  */
 function computeDeltas(
   pair: { before: BurnSample; after: BurnSample },
--- a/packages/keyspace/src/grant_tracker.ts
+++ b/packages/keyspace/src/grant_tracker.ts
@@ -21,8 +21,8 @@
 const INCARNATIONS_PER_REVISION = 1_024;
 
 /**
- * Default hold, in milliseconds: long enough to outlast a restart of the daemon (about 2 s) and a late heartbeat; short
- * enough that the keys of an unresponsive backend server are free within seconds.
+ * Maximum hold that is granted, in milliseconds: long enough to outlast a restart of the daemon (about 2 s) and a late
+ * heartbeat; short enough that the keys of an unresponsive backend server are free within seconds.
  */
 export const MAX_HOLD_MS = 5_000;
 
@@ -76,8 +76,8 @@
   /**
    * Creates a tracker of a backend server without keys.
    *
-   * An earlier process of this daemon may have granted any keys until just before. Unless the backend server reports
-   * otherwise, they count as held until such a grant has expired.
+   * An earlier process of this daemon may have granted keys, unknown to this one, until just before it ended. Unless
+   * the backend server reports otherwise, all keys count as held until such a grant has expired.
    */
   static create(nowMs: number): GrantTracker {
     const tracker = new GrantTracker();
@@ -279,8 +279,8 @@
   }
 
   /**
-   * For how long the backend server certainly holds any key, in milliseconds; 0 where it does not certainly hold any.
-   * It may still hold some then: see `findExpired`.
+   * How long the backend server will certainly hold at least one key, in milliseconds; 0 if it does not certainly hold
+   * one. It may still hold some then: see `findExpired`.
    */
   certainHoldMs(nowMs: number): number {
     const remainingMs = this.holdsUntil.segments.map(({ value }) =>
--- a/packages/keyspace/src/ownership_lease.ts
+++ b/packages/keyspace/src/ownership_lease.ts
@@ -10,8 +10,8 @@
  * Maximum duration of an ownership lease, in milliseconds, counted from before the read of the store was sent. If all
  * arbiters have promised, or there are none, no takeover of the owner can finish within it. It is a constant and not a
  * setting, since daemons with different values could both consider themselves owners. It equals the longest hold that
- * backend servers accept: a shorter lease would stop keyed work in shorter outages of the store, and a longer one could
- * not be used.
+ * backend servers accept: a shorter lease would stop requests with keys in shorter outages of the store, and a longer
+ * one could not be used.
  */
 export const MAX_LEASE_MS = 10_000;
 
@@ -36,7 +36,10 @@
 /** Time after a seal at which the owner's lease has certainly ended, in milliseconds. */
 export const TAKEOVER_WAIT_MS = Math.ceil(MAX_LEASE_MS * (1 + CLOCK_DRIFT));
 
-/** The same for an arbiter without whose promise the owner's lease ends early, in milliseconds. */
+/**
+ * Time after a seal at which the owner's lease has certainly ended for one of its arbiters, in milliseconds: without
+ * that arbiter's promise, the lease does not exceed `SHORT_LEASE_MS`.
+ */
 export const ARBITER_WAIT_MS = Math.ceil(SHORT_LEASE_MS * (1 + CLOCK_DRIFT));
 
 /**
@@ -99,14 +102,14 @@
     this.promiseExpiries.clear();
   }
 
-  /** The arbiters without whose promises the lease ends early. */
+  /** The arbiters whose promises extend the lease beyond `SHORT_LEASE_MS`. */
   get arbiters(): readonly Arbiter[] {
     return this.requiredArbiters;
   }
 
   /**
-   * Whether another daemon may have finished a takeover of this one: the lease has expired, or, without a lease,
-   * `SHORT_LEASE_MS` have passed since the process started.
+   * Whether another daemon may have finished a takeover of this one: the lease has expired, and `SHORT_LEASE_MS` have
+   * passed since the process started.
    */
   hasExpired(nowMs: number): boolean {
     const graceEndsAtMs = this.startedAtMs + SHORT_LEASE_MS;
@@ -149,8 +152,9 @@
   }
 
   /**
-   * The longest hold that may be granted now, in milliseconds on the backend server's clock; 0 where none may be. It
-   * allows for clock drift, so that a backend server with a slow clock does not hold keys after the lease has expired.
+   * Remaining time of the lease and so the longest hold that may be granted now, in milliseconds on the backend
+   * server's clock; 0 if none may be. It allows for clock drift, so that a backend server with a slow clock does not
+   * hold keys after the lease has expired.
    */
   remainingMs(nowMs: number): number {
     const remainingMs = (this.expiresAtMs - nowMs) / (1 + CLOCK_DRIFT);
--- a/packages/load/src/load_run.ts
+++ b/packages/load/src/load_run.ts
@@ -78,7 +78,7 @@
 
   /**
    * Sends all requests, waits for their responses, compares them with the ledgers and returns the report. Throws
-   * where a ledger can't be read.
+   * if a ledger can't be read.
    */
   async run(): Promise<LoadReport> {
     const startMs = performance.now();
@@ -237,7 +237,7 @@
 }
 
 /**
- * Classifies a response: `cut` where its body is incomplete, `crossed` where it belongs to another request,
+ * Classifies a response: `cut` if its body is incomplete, `crossed` if it belongs to another request,
  * `refused` for any other status of 400 or above.
  */
 function classifyResponse(
--- a/packages/load/src/main.ts
+++ b/packages/load/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * Command `bamboolink-load`: runs load with the given settings. Exits with 1 where a non-idempotent request ran
+ * Command `bamboolink-load`: runs load with the given settings. Exits with 1 if a non-idempotent request ran
  * more than once, a request was lost or falsely reported as not run, or a response belonged to another request; with
  * 2 for invalid settings or an invalid configuration document.
  *
--- a/packages/logger/src/events.ts
+++ b/packages/logger/src/events.ts
@@ -26,19 +26,21 @@
   process_started: {
     number: 1001,
     severity: "info",
-    meaning: "The process has started and is ready.",
+    meaning: "The process listens at its addresses.",
     action: NOTHING,
   },
   process_stopping: {
     number: 1002,
     severity: "info",
-    meaning: "The process was asked to stop and is draining.",
+    meaning:
+      "The process was requested to stop; it finishes requests in flight.",
     action: NOTHING,
   },
   process_stopped: {
     number: 1003,
     severity: "info",
-    meaning: "The process has stopped after draining.",
+    meaning:
+      "The process has stopped; `unfinished`, if present, is the number of requests that were abandoned.",
     action: NOTHING,
   },
   process_failed: {
@@ -338,7 +340,7 @@
     number: 1806,
     severity: "info",
     meaning:
-      "One attempt at a request failed without a response; whether another follows depends on `reason` and `left_ms`.",
+      "An attempt at a request was refused, or its outcome is unknown; `reason` states why. Another follows if a backend server, time (`left_ms`) and the retry budget are left.",
     action: NOTHING,
   },
   request_not_run: {
@@ -367,14 +369,15 @@
     number: 1851,
     severity: "info",
     meaning:
-      "A backend server's response with a status from 300 to 499 was passed on; `headers` lists the names of its headers.",
+      "A backend server's response with a status from 300 to 499 was forwarded; `headers` lists the names of its headers.",
     action:
       "If callers consider the request correct, check the backend server.",
   },
   peer_question_failed: {
     number: 1810,
     severity: "warn",
-    meaning: "Another daemon did not respond to a query.",
+    meaning:
+      "A request to another daemon for the configuration or ownership records failed; `cause` states why.",
     action: NOTHING,
   },
   traffic_configuration_in_force: {
@@ -501,7 +504,7 @@
     number: 1827,
     severity: "warn",
     meaning:
-      "A datagram could not be decoded, or `left_out` of its reports were ignored because they don't name the daemon that they describe.",
+      "A datagram could not be decoded, or `left_out` of its reports were ignored because they lack a valid address, incarnation or sequence number.",
     action: "Compare the versions of the daemons.",
   },
   metrics_unavailable: {
@@ -544,14 +547,14 @@
     number: 1839,
     severity: "info",
     meaning:
-      "A server crashed while it was running a request, possibly because of it: until the request is answered, it does not run together with other suspects. `crashes` lists the reported crashes of servers. `peer` is the daemon that reported them; it is absent if this daemon detected the crash.",
+      "A server crashed while it was running a request, possibly because of it: until a server has responded to the request, it does not run together with other suspects. `crashes` lists the reported crashes of servers. `peer` is the daemon that reported them; it is absent if this daemon detected the crash.",
     action: NOTHING,
   },
   request_quarantined: {
     number: 1840,
     severity: "warn",
     meaning:
-      "Servers crashed while they were running a request: three, or two of which the last ran no other suspect. This daemon does not run the request for `left_ms`. Its callers are told that it has not run (`quarantined`).",
+      "Servers crashed while they were running a request: three, or two of which the last ran no other suspect. This daemon does not run the request for `left_ms`. Its callers are informed that it has not run (`quarantined`).",
     action:
       "Find the request by its `fingerprint` in `backend_ended_under_requests`, and fix the service: the request is tried again when the quarantine ends.",
   },
@@ -559,7 +562,7 @@
     number: 1841,
     severity: "info",
     meaning:
-      "A server has answered a request that was suspected or quarantined; the request runs without restrictions again.",
+      "A server has responded to a request that was suspected or quarantined; the request runs without restrictions again.",
     action: NOTHING,
   },
   store_era_changed: {
--- a/packages/membership/src/member.ts
+++ b/packages/membership/src/member.ts
@@ -33,7 +33,7 @@
   /** Increases with each report of one incarnation. */
   sequence: z.int().min(0),
   availabilityZone: z.string(),
-  /** Address on which the daemon accepts forwarded requests. */
+  /** Address at which the daemon serves the configuration, ownership records and store calls to other daemons. */
   peerAddress: z.string(),
   /** Service of the backend server on the daemon's host. */
   service: z.string(),
--- a/packages/membership/src/member_view.ts
+++ b/packages/membership/src/member_view.ts
@@ -207,8 +207,8 @@
 
   /**
    * Chooses the reports of one datagram: this daemon's and the least sent of the others. If all were chosen with equal
-   * probability, the median age of the reports that 59 daemons have of each other would be 2.5 s instead of 2.0 s, at
-   * 8 reports per datagram every 500 ms.
+   * probability, then with 8 reports per datagram every 500 ms, the median age of the reports that 59 daemons have of
+   * each other would be 2.5 s instead of 2.0 s.
    */
   chooseReports(now: { nowMs: number; random: () => number }): MemberReport[] {
     const alive = [...this.entries.values()].filter(({ advancedAtMs }) =>
--- a/packages/membership/src/membership_test.ts
+++ b/packages/membership/src/membership_test.ts
@@ -154,8 +154,8 @@
   }
 
   // Guards against slow failure detection: at 195 daemons a lost one counts as alive for 10 s, and alive ones as
-  // unresponsive. If sequence numbers are sent only as part of full reports, of which a datagram holds 8, those of a
-  // given daemon arrive at random times, seconds apart.
+  // unresponsive. If sequence numbers were sent only as part of full reports, with 8 reports per datagram, those of a
+  // given daemon would arrive at random times, seconds apart.
   [72, 195].forEach((size) => {
     describe(`with ${size} daemons in three availability zones`, () => {
       it("considers no daemon unresponsive, although 10 % of the datagrams are lost", function () {
@@ -172,7 +172,7 @@
   });
 
   describe("when digests contain an unknown daemon", () => {
-    it("returns its address hash, for a request of its report", () => {
+    it("returns its address hash, so that its report can be requested", () => {
       const sender = MemberView.create(report({ address: "sender" }));
       sender.merge([report({ address: "third", sequence: 4 })], 0);
       const other = MemberView.create(report({ address: "other" }));
--- a/packages/router/src/evacuation_manager.ts
+++ b/packages/router/src/evacuation_manager.ts
@@ -109,7 +109,7 @@
     this.handleChange(this.evacuations.replace(state), { source: "store" });
   }
 
-  /** Applies a change that the store has just notified. */
+  /** Applies a change that the store has just reported. */
   applyChange(change: EvacuationChange): void {
     const isRecent = true;
     this.handleChange(this.evacuations.apply(change), {
--- a/packages/router/src/gossip_node.ts
+++ b/packages/router/src/gossip_node.ts
@@ -28,8 +28,8 @@
 /** Minimum interval between requests for missing reports, in milliseconds. */
 const REPORT_REQUEST_INTERVAL_MS = 200;
 /**
- * Number of daemons to which a datagram is repeated, although nearly all have received it already. Each daemon repeats
- * it to as many, so each also receives it about as often.
+ * Number of daemons to which an update is repeated, although nearly all have received it already. Each daemon repeats
+ * it to this many, so each receives it about this often per interval.
  */
 const REPEAT_FANOUT = 2;
 const MAX_PORT = 65_535;
--- a/packages/router/src/ingress.ts
+++ b/packages/router/src/ingress.ts
@@ -66,7 +66,7 @@
 /** Retry delay for callers of a daemon that has no configuration yet, in milliseconds. */
 const NO_CONFIGURATION_RETRY_MS = 200;
 
-/** Refusals whose cause is transient: keys in a handover soon have an owner that holds them again. */
+/** Refusals whose cause is transient: after a handover, the keys soon have a holder again. */
 const TRANSIENT_REASONS: ReadonlySet<RefusalReason> = new Set([
   "not_owner",
   "not_executed",
@@ -81,7 +81,7 @@
   readonly runner: RequestRunner;
   readonly lag: LoopLag;
   readonly random: () => number;
-  /** Returns the service on this host, which requests arriving here are sent on behalf of. */
+  /** Returns the service on this host: the sender of all requests that arrive here. */
   readonly callerService: () => string;
 }
 
@@ -105,7 +105,10 @@
   private readonly pipelines = PipelineTracker.create<Socket>();
   /** Sequence number of each request on its connection. */
   private readonly sequenceNumbers = new WeakMap<ServerResponse, number>();
-  /** Sequence number of the response that closes a connection; requests pipelined behind it get no response. */
+  /**
+   * Sequence number of a response that is delimited by the end of its connection; requests pipelined behind it get no
+   * response.
+   */
   private readonly lastSequenceNumbers = new WeakMap<Socket, number>();
   /** Connections on which a request was received before. */
   private readonly usedSockets = new WeakSet<Socket>();
@@ -342,8 +345,8 @@
   }
 
   /**
-   * Whether an earlier response has closed the connection before this request was received in full. It must not run:
-   * its caller assumes that it was never read.
+   * Whether an earlier response on the connection is delimited by the connection's end. The request must not run: its
+   * caller assumes that it was never read.
    */
   private isBehindLastResponse(response: ServerResponse): boolean {
     const sequenceNumber = this.sequenceNumbers.get(response) ?? 0;
--- a/packages/router/src/member_directory.ts
+++ b/packages/router/src/member_directory.ts
@@ -52,8 +52,8 @@
 
   /**
    * Rewrites the addresses of alive daemons that are missing after the store was restored from an older snapshot.
-   * Without them, a starting daemon would not find those daemons, and they would not find each other after a
-   * restart of all.
+   * Without them, a starting daemon would not find those daemons, and if all daemons restarted, those would not find
+   * each other.
    */
   async restoreMissing(nowMs: number): Promise<void> {
     const { store, view } = this.context;
--- a/packages/router/src/peer_client.ts
+++ b/packages/router/src/peer_client.ts
@@ -20,7 +20,7 @@
 export const STORE_GET_PATH = "/bamboolink/store/get";
 /** Path that performs a compare-and-swap in the store. */
 export const STORE_WRITE_PATH = "/bamboolink/store/write";
-/** Long enough for a peer that has to wait for the store. */
+/** Timeout of a request to a peer, in milliseconds; long enough for a peer that has to wait for the store. */
 const REQUEST_TIMEOUT_MS = 1_500;
 
 /** Body of a request to read a record. */
--- a/packages/router/src/peer_server.ts
+++ b/packages/router/src/peer_server.ts
@@ -23,7 +23,7 @@
   WriteRecordRequest,
 } from "./peer_client.ts";
 
-/** The largest record of the store, with some headroom. */
+/** Maximum size of a request's body, in bytes: the largest record of the store, with some headroom. */
 const MAX_REQUEST_BYTES = 2_097_152;
 
 /** Dependencies of the server. */
--- a/packages/router/src/ports/router_settings.ts
+++ b/packages/router/src/ports/router_settings.ts
@@ -18,13 +18,13 @@
   service: z.string(),
   /** Address at which the backend server on this host accepts requests. */
   backendAddress: address,
-  /** Address at which the router accepts requests of callers on this host. */
+  /** Address at which the router accepts requests of callers on this host, including the backend server. */
   callerAddress: address,
   /** Address at which the router receives heartbeats of the backend server on this host. */
   heartbeatAddress: address,
   /** Address of the readiness check. */
   readinessAddress: address,
-  /** Address at which other daemons send requests to this one. */
+  /** Address at which the router serves the configuration, ownership records and store calls to other daemons. */
   peerAddress: address,
   /** Address at which the router receives gossip over UDP and links for requests over TCP from other daemons. */
   gossipAddress: address,
@@ -51,7 +51,9 @@
      * milliseconds.
      */
     evacuateMs: z.number().positive(),
-    /** Maximum rate at a cold backend server, as a share of the requests per second that it can handle while cold. */
+    /**
+     * Maximum rate of requests to a cold backend server, as a multiple of the rate that it can handle while cold.
+     */
     coldRatio: z.number().min(0),
     /** Requests per second that a cold backend server may receive beyond the ratio. */
     coldExtra: z.number().min(0),
--- a/packages/router/src/request_runner.ts
+++ b/packages/router/src/request_runner.ts
@@ -40,9 +40,10 @@
 const FIRST_FAILURE_STATUS = 500;
 
 /**
- * Refusals by a key's owner that are final: the owner is unreachable for longer than a request could wait, or has no
- * capacity, and no other backend server may run the request. Waiting for another owner would delay callers for
- * nothing, and polling for one takes processor time from other requests.
+ * Refusals by a key's owner that are final: the owner is unreachable for longer than a request could wait, is stopping,
+ * has no capacity, or can't finish the request before its deadline. No other backend server may run the request, so
+ * waiting for another owner would only delay the response, and polling for one takes processor time from other
+ * requests.
  */
 const FINAL_OWNER_REFUSALS: ReadonlySet<RefusalReason> = new Set([
   "peer_unreachable",
@@ -403,8 +404,9 @@
 }
 
 /**
- * Whether a suspect's attempt has used up its probation: its backend server has stopped, or will have no capacity soon.
- * If it were retried elsewhere, concurrent copies of the request would each crash another server.
+ * Whether a suspect request must not be sent to another backend server after this outcome: the one that it was sent to
+ * has stopped, can't be reached, or has no capacity before the deadline. Otherwise concurrent attempts at the same
+ * request could each crash another server.
  */
 function endsProbation(outcome: Outcome): boolean {
   return outcome.kind === "unknown" && outcome.reason === "backend_lost" ||
--- a/packages/routing/src/request_matcher.ts
+++ b/packages/routing/src/request_matcher.ts
@@ -68,7 +68,7 @@
       return err(
         BamboolinkError.create(
           "not_found",
-          "no operation has this method and path",
+          "no operation covers this method and path",
           { step: STEP },
         ),
       );
--- a/packages/settings/src/settings.ts
+++ b/packages/settings/src/settings.ts
@@ -26,7 +26,7 @@
   readonly flag: string;
   readonly variable: string;
   readonly meaning: string;
-  /** The default value, `none`, or `required` where a value must be set. */
+  /** The default value, `none`, or `required` if a value must be set. */
   readonly defaultValue: string;
 }
 
--- a/packages/store/src/call_rate_limiter.ts
+++ b/packages/store/src/call_rate_limiter.ts
@@ -1,9 +1,9 @@
 /**
  * Limits the rate of calls that one process makes to the store.
  *
- * Without it, after an outage every daemon sends all of its calls at once, and the store, whose permitted rates
- * grow more slowly than the fleet, goes down again: a second outage right after the first. A limit in each process
- * also bounds the sum.
+ * Without it, all daemons send all their calls at once after an outage. That is more than the store can handle, since
+ * its permitted rates grow more slowly than the fleet, and it fails again right after it has recovered. A limit per
+ * process also bounds the rate of the whole fleet.
  *
  * @module
  */
--- a/packages/store/src/outage_backoff.ts
+++ b/packages/store/src/outage_backoff.ts
@@ -1,5 +1,5 @@
 /**
- * Holds back calls while the store is unreachable.
+ * Pauses all calls to the store after a watch has failed.
  *
  * Without it, every loop of every daemon keeps calling during an outage, tens of calls per second from a single
  * daemon, and all of them reach the store at the moment it recovers. With it, single calls test whether the store is
@@ -28,7 +28,7 @@
     return nowMs >= this.pausedUntilMs;
   }
 
-  /** Records a call that got no response; `random` is a number in [0, 1). */
+  /** Records that a watch failed, and pauses all calls; `random` is a number in [0, 1). */
   recordFailure(nowMs: number, random: number): void {
     const maxPauseMs = Math.min(
       MAX_PAUSE_MS,
--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -29,7 +29,7 @@
   readonly value: string | undefined;
   /** Revision of the record that is replaced; 0 if the record must not exist. */
   readonly expectedRevision: number;
-  /** Lease to which the record is attached: it is deleted when the lease ends. */
+  /** Id of the store lease to which the record is attached: it is deleted when that lease ends. */
   readonly lease?: string;
 }
 
@@ -95,13 +95,13 @@
     request: CasRequest,
   ): ResultAsync<number, BamboolinkError>;
 
-  /** Grants a lease and returns its ID. */
+  /** Grants a store lease and returns its id. */
   abstract grantLease(ttlSeconds: number): ResultAsync<string, BamboolinkError>;
 
-  /** Renews a lease; `not_found` once it has expired. */
+  /** Renews a store lease; `not_found` once it has expired. */
   abstract renewLease(lease: string): ResultAsync<void, BamboolinkError>;
 
-  /** Ends a lease and deletes the records attached to it. */
+  /** Ends a store lease and deletes the records attached to it. */
   abstract revokeLease(lease: string): ResultAsync<void, BamboolinkError>;
 
   /** Watches all records below a prefix, starting with the changes of `options.fromRevision`. */
--- a/packages/store/src/write_and_verify.ts
+++ b/packages/store/src/write_and_verify.ts
@@ -13,10 +13,10 @@
 /**
  * Writes a record and determines whether the write took effect.
  *
- * The store may apply a write whose response is then lost. A writer that takes this for a failure, or repeats the
- * write and gets a conflict with its own first attempt, makes an operator see an `apply` lose a race against
- * nobody. Repeating the same compare-and-swap is harmless because it can take effect only once, and reading the
- * record back shows whose value it holds.
+ * The store may apply a write whose response is then lost. A writer that takes this for a failure, or that repeats the
+ * write and gets a conflict with its own first attempt, would report to the operator of an `apply` that another writer
+ * changed the record although none did. Repeating the same compare-and-swap is harmless because it can take effect only
+ * once, and reading the record back shows whose value it holds.
  *
  * @param options.isOwn whether a value was written by this writer. By default the text is compared, so values must
  *   contain something that is unique to the writer.
--- a/packages/store/src/write_and_verify_test.ts
+++ b/packages/store/src/write_and_verify_test.ts
@@ -120,9 +120,9 @@
 
 describe("writeAndVerify", () => {
   describe("with any sequence of lost calls and concurrent writers", () => {
-    // Guards against reporting a conflict with nobody, or a success that never took place: the write takes effect, its
-    // response is lost, and the writer, which tries again, takes the lost response for a failure or the conflict of
-    // the second attempt for that of another writer.
+    // Guards against reporting a conflict although no other writer changed the record, or a success that never took
+    // place: the write takes effect, its response is lost, and the writer, which retries, takes the lost response for a
+    // failure or the conflict of the second attempt for that of another writer.
     it("reports the effect correctly, or as unknown", async () => {
       const property = fc.asyncProperty(
         fc.array(anyOutcome, { maxLength: 10 }),
--- a/packages/store_standin/src/memory_key_value_store.ts
+++ b/packages/store_standin/src/memory_key_value_store.ts
@@ -47,7 +47,7 @@
 
   /**
    * Returns the records whose decoded key is in the range from `key` up to `end` (exclusive), or the record of `key`
-   * where `end` is undefined.
+   * if `end` is undefined.
    */
   range(key: string, end: string | undefined): StoredRecord[] {
     if (end === undefined) {
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Writes a record, or deletes it where `value` is undefined, if its revision equals `expectedRevision` (0 for a
-   * record that does not exist). Returns whether the revision was equal.
+   * Writes a record, or deletes it if `value` is undefined, provided that its revision equals `expectedRevision` (0 for
+   * a record that does not exist). Returns whether the revision was equal.
    */
   compareAndSwap(
     write: {
@@ -103,7 +103,7 @@
     return id;
   }
 
-  /** Renews a lease and returns its time to live in milliseconds, or 0 where it has expired. */
+  /** Renews a lease and returns its time to live in milliseconds, or 0 if it has expired. */
   renewLease(id: string, nowMs: number): number {
     this.expireLeases(nowMs);
     const lease = this.leases.get(id);
@@ -139,7 +139,7 @@
     [...this.leases.keys()].forEach((id) => this.revokeLease(id));
   }
 
-  /** Returns the retained changes of a range from `revision` on, or `undefined` where some are no longer retained. */
+  /** Returns the retained changes of a range from `revision` on, or `undefined` if some are no longer retained. */
   changesSince(
     revision: number,
     range: { key: string; end: string },
--- a/packages/store_standin/src/store_standin.ts
+++ b/packages/store_standin/src/store_standin.ts
@@ -97,7 +97,7 @@
     return new StoreStandin();
   }
 
-  /** Listens on loopback and returns the port; 0 lets the system choose one. Rejects where the port can't be bound. */
+  /** Listens on loopback and returns the port; 0 lets the system choose one. Rejects if the port can't be bound. */
   async listen(port: number): Promise<number> {
     await new Promise<void>((resolve, reject) => {
       this.server.once("error", reject);
@@ -182,7 +182,7 @@
     throw new HttpError(404, `unknown path ${path}`);
   }
 
-  /** Replaces the injected faults and ends all leases where requested. */
+  /** Replaces the injected faults and ends all leases if requested. */
   setFaults(settings: FaultSettings): void {
     this.faults.set(settings);
     if (settings.lapse_leases) {
@@ -190,7 +190,7 @@
     }
   }
 
-  /** Closes the open connections where the stand-in is down. */
+  /** Closes the open connections if the stand-in is down. */
   private closeConnectionsIfDown(): void {
     if (this.faults.down) {
       this.server.closeAllConnections();
--- a/packages/types/src/announcement.ts
+++ b/packages/types/src/announcement.ts
@@ -16,7 +16,7 @@
   connections: z.int().min(1).max(10_000).default(64),
   /** Whether it checks the fencing token and the expiry of the grant before and after it runs a request. */
   checks_fencing: z.boolean(),
-  /** `draining` requests that it receives no new requests and that its keys are moved to other servers. */
+  /** `draining` asks the daemon to send it no new requests and to move its keys to other servers. */
   state: z.enum(["ready", "draining"]).default("ready"),
 });
 /** An announcement of a backend server. */
