--- a/packages/keyspace/src/testing/ownership_simulation.ts
+++ b/packages/keyspace/src/testing/ownership_simulation.ts
@@ -151,7 +151,7 @@
 
 interface Server {
   instance: string;
-  /** Identifies the process, even where it keeps the id of an earlier one. */
+  /** Identifies the process, even if it keeps the id of an earlier one. */
   born: number;
   sequence: number;
   readonly holds: RangeMap<{ token: number; expiresAtMs: number }>;
@@ -211,7 +211,7 @@
   private nowMs = 100_000;
   private outageUntilMs = 0;
   private stored = OwnershipRecord.create();
-  /** Revision of the corrupt value that another writer has written in place of the record; 0 where it was deleted. */
+  /** Revision of the corrupt value that another writer has written in place of the record; 0 if it was deleted. */
   private corruptRevision: number | undefined;
   private revision = 1;
   private era = 0;
@@ -395,7 +395,7 @@
     };
   }
 
-  /** @param instance the id of an earlier process, where the server keeps it. */
+  /** @param instance the id of an earlier process, if the server keeps it. */
   private createServer(instance?: string): Server {
     this.serverCount += 1;
     return {
@@ -794,7 +794,7 @@
   }
 
   /**
-   * Restores the newest record that the host has after a rollback of the store; the store's record where it has none.
+   * Restores the newest record that the host has after a rollback of the store; the store's record if it has none.
    */
   private restore(host: Host, delayMs: number): void {
     const due = host.restoreTimer.findReplaceableRevision(this.clockOf(host));
--- a/packages/router/src/attempt_history.ts
+++ b/packages/router/src/attempt_history.ts
@@ -8,7 +8,7 @@
 /** Final outcome of a request, with details for the log. */
 export interface FinalOutcome {
   readonly outcome: Outcome;
-  /** The daemon of the last attempt; `undefined` where there was none. */
+  /** The daemon of the last attempt; `undefined` if there was none. */
   readonly peer: string | undefined;
   readonly attempts: number;
 }
--- a/packages/router/src/backend_manager.ts
+++ b/packages/router/src/backend_manager.ts
@@ -341,7 +341,7 @@
       await this.context.beforeGrant();
     }
     if (!this.incarnations.isCurrent(heartbeat)) {
-      // The incarnation was replaced meanwhile, so nobody receives this response.
+      // The incarnation was replaced meanwhile, so no process receives this response.
       return undefined;
     }
     const respondedAtMs = bootMs();
--- a/packages/router/src/ingress.ts
+++ b/packages/router/src/ingress.ts
@@ -511,7 +511,7 @@
   }
 
   /**
-   * Logs a response that is truncated: the request counts as answered here, but its caller received only part of it.
+   * Logs a response that is truncated: the request counts as served here, but its caller received only part of it.
    */
   private watchDelivery(
     response: ServerResponse,
