--- a/packages/membership/src/member.ts
+++ b/packages/membership/src/member.ts
@@ -33,8 +33,8 @@
   /** Increases with each report of one incarnation. */
   sequence: z.int().min(0),
   availabilityZone: z.string(),
-  /** Address on which the daemon accepts forwarded requests. */
-  forwardAddress: z.string(),
+  /** Address at which the daemon serves the configuration, ownership records and store calls to other daemons. */
+  peerAddress: z.string(),
   /** Service of the backend server on the daemon's host. */
   service: z.string(),
   phase: MemberPhase,
--- a/packages/router/src/request_runner.ts
+++ b/packages/router/src/request_runner.ts
@@ -40,9 +40,10 @@
 const FIRST_FAILURE_STATUS = 500;
 
 /**
- * Refusals by a key's owner that are final: the owner is unreachable for longer than a request could wait, or has no
- * capacity, and no other backend server may run the request. Waiting for another owner would delay callers for
- * nothing, and polling for one takes processor time from other requests.
+ * Refusals by a key's owner that are final: the owner is unreachable for longer than a request could wait, is stopping,
+ * has no capacity, or can't finish the request before its deadline. No other backend server may run the request, so
+ * waiting for another owner would only delay the response, and polling for one takes processor time from other
+ * requests.
  */
 const FINAL_OWNER_REFUSALS: ReadonlySet<RefusalReason> = new Set([
   "peer_unreachable",
@@ -112,7 +113,7 @@
       if (target === undefined) {
         return history.toFinalOutcome();
       }
-      if (!this.mayAttempt(current, history.arrivals, maximumAttempts)) {
+      if (!this.mayAttempt(current, history.sentAttempts, maximumAttempts)) {
         return history.toFinalOutcome();
       }
       const outcome = await this.attempt(current, {
@@ -140,13 +141,13 @@
   /** Whether an attempt may be made. A retry of a request that may have run is charged to the retry budget. */
   private mayAttempt(
     request: RoutedRequest,
-    arrivals: number,
+    sentAttempts: number,
     maximumAttempts: number,
   ): boolean {
-    if (arrivals === 0) {
+    if (sentAttempts === 0) {
       return true;
     }
-    if (!this.hasRetryAllowance(request, arrivals, maximumAttempts)) {
+    if (!this.hasRetryAllowance(request, sentAttempts, maximumAttempts)) {
       return false;
     }
     this.context.budget.recordRetry(request.service, monotonicMs());
@@ -166,7 +167,11 @@
     const tried = new Set([...history.tried, target.address]);
     return request.isIdempotent &&
       !this.context.directory.isKeyed(request.service) &&
-      this.hasRetryAllowance(request, history.arrivals + 1, maximumAttempts) &&
+      this.hasRetryAllowance(
+        request,
+        history.sentAttempts + 1,
+        maximumAttempts,
+      ) &&
       this.choose(request, tried) !== undefined;
   }
 
@@ -245,13 +250,13 @@
 
   private hasRetryAllowance(
     request: RoutedRequest,
-    arrivals: number,
+    sentAttempts: number,
     maximumAttempts: number,
   ): boolean {
     const { budget, view, loadTracker } = this.context;
     const nowMs = monotonicMs();
     const typicalMs = loadTracker.typicalMs(request.route);
-    return arrivals < maximumAttempts &&
+    return sentAttempts < maximumAttempts &&
       request.deadlineAtMs - nowMs > typicalMs * MIN_RETRY_TIME_SHARE &&
       budget.allows(request.service, {
         nowMs,
@@ -399,8 +404,9 @@
 }
 
 /**
- * Whether a suspect's attempt has used up its probation: its backend server has stopped, or will have no capacity soon.
- * If it were retried elsewhere, concurrent copies of the request would each crash another server.
+ * Whether a suspect request must not be sent to another backend server after this outcome: the one that it was sent to
+ * has stopped, can't be reached, or has no capacity before the deadline. Otherwise concurrent attempts at the same
+ * request could each crash another server.
  */
 function endsProbation(outcome: Outcome): boolean {
   return outcome.kind === "unknown" && outcome.reason === "backend_lost" ||
