--- a/packages/router/src/ingress.ts
+++ b/packages/router/src/ingress.ts
@@ -10,7 +10,10 @@
   type ServerResponse,
 } from "node:http";
 import type { Socket } from "node:net";
-import { CallerPatience, createAnswerSpread } from "@bamboolink/admission";
+import {
+  createRetryAfterSampler,
+  ElapsedWaitEstimator,
+} from "@bamboolink/admission";
 import {
   ServerConnections,
   type UnreadableInput,
@@ -18,7 +21,7 @@
 import type { Logger } from "@bamboolink/logger";
 import type { Metrics } from "@bamboolink/metrics";
 import { fingerprintRequest } from "@bamboolink/quarantine";
-import { ConnectionOrder, TrafficSplit } from "@bamboolink/traffic";
+import { PipelineTracker, TrafficSplit } from "@bamboolink/traffic";
 import type { CallerLimits, TrafficRoute } from "@bamboolink/types";
 import type { Ending } from "./attempt_history.ts";
 import { Cancellation } from "./cancellation.ts";
@@ -32,12 +35,16 @@
 import type {
   CallerProtocol,
   CallerRequest,
-  OwnOutcome,
-  OwnRejection,
+  RouterOutcome,
+  RouterRejection,
 } from "./ports/caller_protocol.ts";
 import type { LoopLag } from "./loop_lag.ts";
 import type { RequestRunner } from "./request_runner.ts";
-import type { Outcome, RefusalReason, Work } from "./work.ts";
+import type {
+  Outcome,
+  RefusalReason,
+  RoutedRequest,
+} from "./routed_request.ts";
 
 /** What the answer's way back to the caller takes, in milliseconds: the deadline is met there. */
 const WAY_BACK_MS = 8;
@@ -78,7 +85,7 @@
 }
 
 /** Work as its entrance sees it. */
-interface CallerWork extends Work {
+interface CallerWork extends RoutedRequest {
   /** Until when the request must start to meet its objective, as a rule. */
   readonly latestStartMs: number;
   /** When the caller gives up, whatever its route allows. */
@@ -89,10 +96,10 @@
 export class Ingress {
   /** Takes the callers' connections. */
   readonly server: Server;
-  private readonly patience = CallerPatience.create();
+  private readonly patience = ElapsedWaitEstimator.create();
   private readonly split: TrafficSplit;
-  private readonly spread: ReturnType<typeof createAnswerSpread>;
-  private readonly order = ConnectionOrder.create<Socket>();
+  private readonly spread: ReturnType<typeof createRetryAfterSampler>;
+  private readonly order = PipelineTracker.create<Socket>();
   /** The place of each request on its connection. */
   private readonly places = new WeakMap<ServerResponse, number>();
   /** The place of the answer with which a connection ends, though others may have come behind it. */
@@ -105,7 +112,7 @@
 
   private constructor(private readonly context: IngressContext) {
     this.split = TrafficSplit.create(context.random);
-    this.spread = createAnswerSpread(context.random);
+    this.spread = createRetryAfterSampler(context.random);
     this.server = createServer({
       maxHeaderSize: MAXIMUM_HEADER_BYTES,
       keepAliveTimeout: FIRST_LIMITS.idleTimeoutMs,
@@ -162,12 +169,12 @@
     response: ServerResponse,
   ): Promise<void> {
     const { socket } = incoming;
-    if (this.connections.passesOver(incoming)) {
+    if (this.connections.discardAfterLastResponse(incoming)) {
       return;
     }
     let route: string | undefined;
     this.active += 1;
-    this.places.set(response, this.order.begin(socket));
+    this.places.set(response, this.order.beginRequest(socket));
     try {
       route = await this.serveOne(incoming, response);
     } catch (cause) {
@@ -175,7 +182,7 @@
       response.destroy();
     } finally {
       this.active -= 1;
-      this.order.end(socket, route);
+      this.order.endRequest(socket, route);
     }
   }
 
@@ -187,7 +194,7 @@
     const { protocol, configuration, metrics, lag } = this.context;
     const arrivedMs = steadyMs() - lag.currentMs;
     response.sendDate = false;
-    await lag.catchUp({ isFirst: this.isFirst(incoming.socket) });
+    await lag.awaitPendingReads({ isFirst: this.isFirst(incoming.socket) });
     if (hasLeft(incoming)) {
       response.destroy();
       return undefined;
@@ -205,9 +212,9 @@
         reason: "no_configuration",
         retryAfterMs: this.spread({
           waitMs: NO_CONFIGURATION_MS,
-          usefulMs: 0,
-          leftMs: request.deadlineMs ?? Infinity,
-          isPassing: true,
+          objectiveRemainingMs: 0,
+          remainingMs: request.deadlineMs ?? Infinity,
+          isTransient: true,
         }),
       }, request);
       return undefined;
@@ -240,7 +247,7 @@
   /** Tells a caller that its request can't be served as it is. */
   private reject(
     response: ServerResponse,
-    outcome: OwnRejection,
+    outcome: RouterRejection,
     request?: Pick<CallerRequest, "id">,
   ): void {
     const { logger, metrics, configuration } = this.context;
@@ -257,11 +264,11 @@
     this.refuse(response, outcome, request);
   }
 
-  private noteUnreadable({ code, pendingAnswers }: UnreadableInput): void {
+  private noteUnreadable({ code, pendingResponses }: UnreadableInput): void {
     const { logger, metrics } = this.context;
     logger.log("caller_bytes_unreadable", {
       code,
-      pending_answers: pendingAnswers,
+      pending_answers: pendingResponses,
     });
     metrics.count("bamboolink_rejected_requests", { reason: "unreadable" });
   }
@@ -277,9 +284,9 @@
     const lagMs = lag.currentMs;
     const retryAfterMs = this.spread({
       waitMs: lagMs,
-      usefulMs: 0,
-      leftMs: request.deadlineMs ?? route.timeoutMs,
-      isPassing: false,
+      objectiveRemainingMs: 0,
+      remainingMs: request.deadlineMs ?? route.timeoutMs,
+      isTransient: false,
     });
     logger.log("request_not_run", {
       request_id: request.id,
@@ -355,7 +362,7 @@
     );
     const waitedMs = request.deadlineMs === undefined
       ? 0
-      : this.patience.note(route.name, request.deadlineMs);
+      : this.patience.recordDeadline(route.name, request.deadlineMs);
     const service = this.split.choose(route);
     const isKeyed = match.inForce.services.get(service)?.keyed === true;
     return {
@@ -371,8 +378,8 @@
       latestStartMs: arrivedMs +
         (route.objectiveMs - waitedMs) * (1 - USUAL_SERVICE_SHARE),
       deadlineAtMs: arrivedMs + patienceMs,
-      lostRuns: 0,
-      mayEndLate: !this.order.isFollowed(incoming.socket, route.name),
+      brokenConnections: 0,
+      mayEndLate: !this.order.isLikelyPipelined(incoming.socket, route.name),
       callerLeavesAtMs: arrivedMs + (request.deadlineMs ?? route.timeoutMs),
       method: incoming.method ?? "GET",
       target: incoming.url ?? "/",
@@ -386,7 +393,7 @@
 
   /** Runs a request until it has an outcome, its deadline passes or its caller leaves. */
   private async runUntilDeadline(
-    work: Work,
+    work: RoutedRequest,
     response: ServerResponse,
     route: TrafficRoute,
   ): Promise<Ending> {
@@ -430,9 +437,9 @@
       // Nobody runs it before its quarantine is over, so a caller that comes back sooner comes in vain.
       const retryAfterMs = isQuarantined ? outcome.waitMs : this.spread({
         waitMs: outcome.waitMs,
-        usefulMs: work.latestStartMs - steadyMs(),
-        leftMs: work.callerLeavesAtMs - steadyMs(),
-        isPassing: PASSING_REASONS.has(outcome.reason),
+        objectiveRemainingMs: work.latestStartMs - steadyMs(),
+        remainingMs: work.callerLeavesAtMs - steadyMs(),
+        isTransient: PASSING_REASONS.has(outcome.reason),
       });
       logger.log("request_not_run", {
         request_id: work.id,
@@ -468,7 +475,7 @@
 
   /** Tells of an answer by which the backend server itself found the request wrong. */
   private noteUnusual(
-    work: Work,
+    work: RoutedRequest,
     end: {
       outcome: Extract<Outcome, { kind: "answer" }>;
       peer: string | undefined;
@@ -528,7 +535,7 @@
     if (!answer.isFramed) {
       // The caller must not take for whole what may have been cut: it ends with the connection here, too.
       const { socket } = response.req;
-      this.connections.announceEnd(socket);
+      this.connections.closeAfterNextResponse(socket);
       this.endings.set(socket, this.places.get(response) ?? 0);
       response.useChunkedEncodingByDefault = false;
       response.shouldKeepAlive = false;
@@ -546,7 +553,7 @@
 
   private refuse(
     response: ServerResponse,
-    outcome: OwnOutcome,
+    outcome: RouterOutcome,
     request?: Pick<CallerRequest, "id">,
   ): void {
     // A body that can't be read is answered with its connection.
@@ -572,7 +579,7 @@
     if (!this.isStopping || !this.order.isLast(socket, place)) {
       return {};
     }
-    this.connections.announceEnd(socket);
+    this.connections.closeAfterNextResponse(socket);
     return { connection: "close" };
   }
 }
--- a/packages/router/src/link_server.ts
+++ b/packages/router/src/link_server.ts
@@ -6,18 +6,18 @@
 import { createServer, type Server, type Socket } from "node:net";
 import type { LinkDelay } from "@bamboolink/admission";
 import type { Logger } from "@bamboolink/logger";
-import type { AnswerSender } from "./answer_sender.ts";
+import type { ResponseSender } from "./response_sender.ts";
 import { Cancellation } from "./cancellation.ts";
 import { FrameSocket } from "./frame_socket.ts";
 import {
-  decodeWork,
+  decodeRequest,
   encodeFrame,
   type Frame,
   FRAME_KINDS,
 } from "./link_codec.ts";
 import type { LocalBackend } from "./local_backend.ts";
 import type { LoopLag } from "./loop_lag.ts";
-import { notRun, type Outcome, type Work } from "./work.ts";
+import { notRun, type Outcome, type RoutedRequest } from "./routed_request.ts";
 
 /**
  * A request that is not answered by then is acknowledged, in milliseconds. Many are answered sooner, and
@@ -34,15 +34,15 @@
 /** What the server needs. */
 export interface LinkServerContext {
   readonly logger: Logger;
-  readonly backend: Pick<LocalBackend, "attempt" | "reportOn">;
-  readonly answers: AnswerSender;
+  readonly backend: Pick<LocalBackend, "attempt" | "loadReportFor">;
+  readonly responses: ResponseSender;
   readonly lag: LoopLag;
   readonly nowMs: () => number;
 }
 
 /** One request of another daemon. */
 interface Running {
-  readonly work: Work;
+  readonly work: RoutedRequest;
   readonly cancellation: Cancellation;
   readonly arrivedMs: number;
   isAcknowledged: boolean;
@@ -82,7 +82,7 @@
         sum + running.size + (frames.hasUnsent ? 1 : 0),
       0,
     );
-    return underWay + this.context.answers.waitingCount;
+    return underWay + this.context.responses.waitingCount;
   }
 
   /** From now on no request is taken any more. */
@@ -138,7 +138,7 @@
       onFrame: (frame) => this.take(link, frame),
       onEnd: (cause) => {
         this.links.delete(link);
-        this.context.answers.drop(frames);
+        this.context.responses.drop(frames);
         running.forEach(({ cancellation }) => cancellation.cancel("cancelled"));
         running.clear();
         this.context.logger.log("link_ended", { peer, cause });
@@ -151,7 +151,7 @@
   private take(link: Link, frame: Frame): void {
     if (frame.kind === FRAME_KINDS.cancellation) {
       link.running.get(frame.id)?.cancellation.cancel("cancelled");
-      this.context.answers.cancel(link.frames, frame.id);
+      this.context.responses.cancel(link.frames, frame.id);
       return;
     }
     if (frame.kind !== FRAME_KINDS.request || this.hasSaidFarewell) {
@@ -159,7 +159,7 @@
     }
     const { nowMs, lag } = this.context;
     const arrivedMs = nowMs();
-    const work = decodeWork(frame, arrivedMs - lag.currentMs);
+    const work = decodeRequest(frame, arrivedMs - lag.currentMs);
     const cancellation = Cancellation.create();
     const running = { work, cancellation, arrivedMs, isAcknowledged: false };
     link.running.set(frame.id, running);
@@ -172,26 +172,27 @@
     id: number,
     { work, cancellation }: Running,
   ): Promise<void> {
-    const { backend, answers, lag, logger } = this.context;
+    const { backend, responses, lag, logger } = this.context;
     const { route, objectiveAtMs } = work;
-    await lag.catchUp({ isFirst: false });
-    const leaving = leaveTime(work, answers.expect(route), {
+    await lag.awaitPendingReads({ isFirst: false });
+    const leaving = leaveTime(work, responses.estimateDelay(route), {
       nowMs: this.context.nowMs(),
-      serviceMs: backend.reportOn(route).serviceMs,
+      serviceMs: backend.loadReportFor(route).serviceMs,
     });
-    answers.noteRunning(route, 1);
+    responses.adjustRunning(route, 1);
     const outcome = await this.run(leaving, cancellation)
       .catch((cause) => {
         logger.log("unexpected_error", { step: "link_server", cause });
         return { kind: "unknown", reason: "connection_lost" } as const;
       });
-    answers.noteRunning(route, -1);
+    responses.adjustRunning(route, -1);
     if (link.running.delete(id) && cancellation.reason !== "cancelled") {
       const { frames } = link;
-      const load = backend.reportOn(route);
+      const load = backend.loadReportFor(route);
       // Whoever chooses among servers chooses among the links to them, too.
-      const serviceMs = load.serviceMs + answers.expect(route).inTimeMs;
-      answers.send(
+      const serviceMs = load.serviceMs +
+        responses.estimateDelay(route).onTimeMs;
+      responses.send(
         { frames, id, route, objectiveAtMs },
         outcome,
         { ...load, serviceMs },
@@ -199,7 +200,10 @@
     }
   }
 
-  private run(work: Work, cancellation: Cancellation): Promise<Outcome> {
+  private run(
+    work: RoutedRequest,
+    cancellation: Cancellation,
+  ): Promise<Outcome> {
     const { backend, lag } = this.context;
     if (this.isStopping) {
       return Promise.resolve(notRun("stopping"));
@@ -216,16 +220,16 @@
  * whose answers can't arrive in time, at the cost of those that could.
  */
 function leaveTime(
-  work: Work,
-  { inTimeMs, lateMs }: LinkDelay,
+  work: RoutedRequest,
+  { onTimeMs, lateMs }: LinkDelay,
   now: { nowMs: number; serviceMs: number },
-): Work {
+): RoutedRequest {
   if (lateMs === 0) {
     return work;
   }
-  const objectiveAtMs = work.objectiveAtMs - inTimeMs;
+  const objectiveAtMs = work.objectiveAtMs - onTimeMs;
   const isInTime = now.nowMs + now.serviceMs <= objectiveAtMs;
-  const leftMs = isInTime ? inTimeMs : lateMs * LATE_ALLOWANCE;
+  const leftMs = isInTime ? onTimeMs : lateMs * LATE_ALLOWANCE;
   const deadlineAtMs = work.deadlineAtMs - leftMs;
   return { ...work, objectiveAtMs, deadlineAtMs };
 }
--- a/packages/router/src/local_backend.ts
+++ b/packages/router/src/local_backend.ts
@@ -5,14 +5,14 @@
  */
 import {
   ColdStartPacer,
+  type QueueChanges,
   ServiceTimes,
-  type WorkChanges,
   WorkQueue,
 } from "@bamboolink/admission";
 import {
-  type GrantBook,
+  type GrantTracker,
   type Incarnation,
-  isSame,
+  isSameIncarnation,
   LoadProfile,
 } from "@bamboolink/keyspace";
 import type { Logger } from "@bamboolink/logger";
@@ -32,9 +32,9 @@
   notRun,
   type Outcome,
   type RefusalReason,
+  type RoutedRequest,
   unknown,
-  type Work,
-} from "./work.ts";
+} from "./routed_request.ts";
 
 /**
  * How long a connection may have been idle to be used again for idempotent requests, in milliseconds:
@@ -72,7 +72,7 @@
   readonly address: string;
   readonly protocol: BackendProtocol;
   readonly logger: Logger;
-  readonly grants: GrantBook;
+  readonly grants: GrantTracker;
   readonly quarantine: RequestQuarantine;
   /** Called when something contradicts what is believed of the backend server. */
   readonly onSuspicion: (suspicion: BackendSuspicion) => void;
@@ -85,7 +85,7 @@
   readonly phase: MemberPhase;
   readonly isKeyed: boolean;
   /** After this nothing is handed over any more, on the steady clock; infinite while it takes work. */
-  readonly handOverUntilMs: number;
+  readonly forwardUntilMs: number;
   /** Until when it is cold, on the steady clock. */
   readonly coldUntilMs: number;
   /** Most requests in one second while it is cold; 0 where that is not known. */
@@ -124,9 +124,9 @@
   }
 
   /** Takes over what the backend server says of itself; `undefined` when it is gone. */
-  identify(identity: BackendIdentity | undefined): void {
+  updateIdentity(identity: BackendIdentity | undefined): void {
     const isSameProcess = identity !== undefined &&
-      this.identity !== undefined && isSame(identity, this.identity);
+      this.identity !== undefined && isSameIncarnation(identity, this.identity);
     if (!isSameProcess) {
       this.connections.closeIdle();
       this.times.clear();
@@ -141,7 +141,7 @@
   }
 
   /** How busy the backend server is, and how long requests of a route take there. */
-  reportOn(route: string): LoadReport {
+  loadReportFor(route: string): LoadReport {
     return {
       waitMs: this.waitMs,
       utilization: this.utilization,
@@ -166,7 +166,7 @@
 
   /** Usual time of a request over all routes, in milliseconds; 0 until enough were served. */
   get serviceMs(): number {
-    return this.times.settledMs;
+    return this.times.stableAverageMs;
   }
 
   /** Share of recent requests that failed. */
@@ -214,11 +214,11 @@
     this.apply(this.queue.advance(nowMs));
     this.meter.decay(nowMs);
     this.profile.decay(nowMs);
-    this.connections.prune({ nowMs, longestIdleMs: REUSE_IDEMPOTENT_MS });
+    this.connections.prune({ nowMs, maxIdleMs: REUSE_IDEMPOTENT_MS });
   }
 
   /** The backend server was granted keys: requests that waited for them look again. */
-  noteGranted(): void {
+  onKeysGranted(): void {
     this.grantWaits.forEach((look) => look());
   }
 
@@ -228,7 +228,7 @@
   }
 
   override async attempt(
-    work: Work,
+    work: RoutedRequest,
     cancellation: Cancellation,
   ): Promise<Outcome> {
     const { quarantine } = this.context;
@@ -238,7 +238,7 @@
       return refused;
     }
     const estimateMs = this.estimate(work);
-    if (quarantine.judge(work).kind !== "suspect") {
+    if (quarantine.classify(work).kind !== "suspect") {
       return await this.runAdmitted(work, { cancellation, estimateMs });
     }
     return await this.probation.run(work, { cancellation, estimateMs }, () => {
@@ -250,7 +250,7 @@
     });
   }
 
-  private estimate(work: Work): number {
+  private estimate(work: RoutedRequest): number {
     const nowMs = steadyMs();
     return this.times.estimate(work.route, {
       objectiveMs: work.objectiveAtMs - nowMs,
@@ -260,7 +260,7 @@
 
   /** Runs a request when a slot is free for it. */
   private async runAdmitted(
-    work: Work,
+    work: RoutedRequest,
     entry: {
       cancellation: Cancellation;
       estimateMs: number;
@@ -271,7 +271,7 @@
     this.meter.noteOffered(estimateMs);
     this.totals.offered += 1;
     if (work.key !== undefined) {
-      this.profile.note(work.key, estimateMs);
+      this.profile.record(work.key, estimateMs);
     }
     this.lastId += 1;
     const id = this.lastId;
@@ -285,7 +285,7 @@
       : admitted;
   }
 
-  private checkService(work: Work): Outcome | undefined {
+  private checkService(work: RoutedRequest): Outcome | undefined {
     const { identity } = this;
     if (identity === undefined || identity.phase === "absent") {
       return notRun("no_backend");
@@ -298,21 +298,21 @@
       : notRun(leavingReason(identity));
   }
 
-  private checkQuarantine(work: Work): Outcome | undefined {
-    const standing = this.context.quarantine.judge(work);
+  private checkQuarantine(work: RoutedRequest): Outcome | undefined {
+    const standing = this.context.quarantine.classify(work);
     return standing.kind === "quarantined"
       ? notRun("quarantined", { waitMs: standing.remainingMs })
       : undefined;
   }
 
   /** One that leaves is handed requests for a while longer only for keys, which nobody else can serve. */
-  private isTaking({ phase, isKeyed, handOverUntilMs }: BackendIdentity) {
-    return phase === "ready" || isKeyed && steadyMs() <= handOverUntilMs;
+  private isTaking({ phase, isKeyed, forwardUntilMs }: BackendIdentity) {
+    return phase === "ready" || isKeyed && steadyMs() <= forwardUntilMs;
   }
 
   /** Requests for a key wait until the backend server holds it, if it is to hold it. */
   private async awaitKey(
-    work: Work,
+    work: RoutedRequest,
     cancellation: Cancellation,
   ): Promise<Outcome | undefined> {
     const { grants } = this.context;
@@ -320,7 +320,7 @@
       return undefined;
     }
     const key = work.key;
-    if (key === undefined || !grants.isOwn(key)) {
+    if (key === undefined || !grants.owns(key)) {
       return notRun("not_owner");
     }
     if (grants.holds(key, bootMs())) {
@@ -347,7 +347,7 @@
         resolve();
       };
       const look = () => {
-        if (grants.holds(key, bootMs()) || !grants.isOwn(key)) {
+        if (grants.holds(key, bootMs()) || !grants.owns(key)) {
           end();
         }
       };
@@ -358,7 +358,7 @@
   }
 
   private awaitSlot(
-    work: Work,
+    work: RoutedRequest,
     entry: { id: number; estimateMs: number; cancellation: Cancellation },
   ): Promise<"run" | Outcome> {
     const { id, estimateMs, cancellation } = entry;
@@ -396,7 +396,7 @@
 
   /** From here on bytes may reach the backend server. */
   private async handOver(
-    work: Work,
+    work: RoutedRequest,
     slot: { id: number; cancellation: Cancellation; isOnProbation: boolean },
   ): Promise<Outcome> {
     const startedMs = steadyMs();
@@ -405,9 +405,9 @@
       this.leaveSlot(slot.id);
       return refused;
     }
-    const connection = this.connections.take({
+    const connection = this.connections.acquire({
       nowMs: startedMs,
-      longestIdleMs: work.isIdempotent ? REUSE_IDEMPOTENT_MS : REUSE_ONCE_MS,
+      maxIdleMs: work.isIdempotent ? REUSE_IDEMPOTENT_MS : REUSE_ONCE_MS,
     });
     const result = await connection.exchange(
       this.describe(work, startedMs),
@@ -421,7 +421,7 @@
   }
 
   /** While a request waited, the key may have gone, the server may leave, or servers may have ended under it. */
-  private checkAgain(work: Work): Outcome | undefined {
+  private checkAgain(work: RoutedRequest): Outcome | undefined {
     const { grants } = this.context;
     const quarantined = this.checkQuarantine(work);
     if (quarantined !== undefined) {
@@ -429,7 +429,7 @@
     }
     const key = work.key;
     if (this.identity?.isKeyed === true && key !== undefined) {
-      if (!grants.isOwn(key) || !grants.holds(key, bootMs())) {
+      if (!grants.owns(key) || !grants.holds(key, bootMs())) {
         return notRun("not_owner");
       }
     }
@@ -440,14 +440,14 @@
     if (identity === undefined || identity.service !== work.service) {
       return notRun("no_backend");
     }
-    return steadyMs() > identity.handOverUntilMs
+    return steadyMs() > identity.forwardUntilMs
       ? notRun(leavingReason(identity))
       : undefined;
   }
 
-  private describe(work: Work, nowMs: number) {
+  private describe(work: RoutedRequest, nowMs: number) {
     const details = this.context.protocol.requestHeaders({
-      deadlineLeftMs: Math.max(1, Math.floor(work.deadlineAtMs - nowMs)),
+      remainingMs: Math.max(1, Math.floor(work.deadlineAtMs - nowMs)),
       instance: this.identity?.instance ?? "",
       callerService: work.callerService,
     });
@@ -456,7 +456,7 @@
   }
 
   private judge(
-    work: Work,
+    work: RoutedRequest,
     end: { result: ExchangeResult; connection: Connection },
   ): Outcome {
     const { result, connection } = end;
@@ -475,21 +475,21 @@
   }
 
   private judgeAnswer(
-    work: Work,
+    work: RoutedRequest,
     end: {
       answer: Extract<ExchangeResult, { kind: "answer" }>;
       connection: Connection;
     },
   ): Outcome {
     const { answer, connection } = end;
-    const verdict = this.context.protocol.judge(answer, work.id);
+    const verdict = this.context.protocol.classifyResponse(answer, work.id);
     if (verdict === "foreign") {
       // The right answer may still follow on this connection, where nobody may take it for another's.
       this.connections.discard(connection);
       this.context.logger.log("foreign_answer", { request_id: work.id });
       return unknown("foreign_answer");
     }
-    this.connections.give(connection);
+    this.connections.release(connection);
     if (verdict === "answer") {
       return { ...answer, headers: selectAnswerHeaders(answer.headers) };
     }
@@ -500,16 +500,16 @@
   }
 
   private tellQuarantine(
-    work: Work,
+    work: RoutedRequest,
     end: { outcome: Outcome; isOnProbation: boolean },
   ): void {
     const { outcome, isOnProbation } = end;
     const { quarantine, onSuspicion } = this.context;
     if (outcome.kind === "answer") {
-      quarantine.noteAnswered(work);
+      quarantine.recordResponse(work);
     }
     if (outcome.kind === "unknown" && outcome.reason === "backend_lost") {
-      quarantine.noteLost(work, isOnProbation);
+      quarantine.recordBrokenConnection(work, isOnProbation);
       // While others run on, only this connection has broken.
       if (this.queue.runningCount === 0) {
         onSuspicion("lost");
@@ -518,12 +518,12 @@
   }
 
   private learn(
-    work: Work,
+    work: RoutedRequest,
     end: { outcome: Outcome; tookMs: number },
   ): void {
     const { outcome, tookMs } = end;
     if (outcome.kind === "answer" && outcome.status < 500) {
-      this.times.note(work.route, tookMs);
+      this.times.record(work.route, tookMs);
     }
     const isFailure = outcome.kind === "unknown" ||
       outcome.kind === "answer" && outcome.status >= 500 ||
@@ -536,7 +536,7 @@
     this.apply(this.queue.finish(id, steadyMs()));
   }
 
-  private apply(changes: WorkChanges): void {
+  private apply(changes: QueueChanges): void {
     changes.run.forEach((id) => this.settle(id, "run"));
     changes.refuse.forEach(({ id, reason }) =>
       this.settle(id, notRun(reason, { waitMs: this.waitMs }))
