--- a/packages/admission/src/idempotency_ledger_test.ts
+++ b/packages/admission/src/idempotency_ledger_test.ts
@@ -1,5 +1,5 @@
 /**
- * Property tests of the memory of non-idempotent requests, against owners that follow each other.
+ * Property tests of the ledger of non-idempotent requests, across changes of the owner.
  *
  * @module
  */
@@ -9,70 +9,75 @@
 import { IdempotencyLedger } from "./idempotency_ledger.ts";
 
 const SEED = 13;
-const LIMITS = { memoryMs: 1_000, entries: 4, clockSkewMs: 50 };
+const LIMITS = { retentionMs: 1_000, entries: 4, clockSkewMs: 50 };
 
 const event = fc.record({
   kind: fc.constantFrom(
     "send",
-    "resend",
+    "retry",
     "change_owner",
     "answer",
     "forget_answer",
   ),
-  timeMs: fc.nat(400),
-  /** The caller's clock differs by this much. */
+  elapsedMs: fc.nat(400),
+  /** Difference of the caller's clock, in milliseconds. */
   skewMs: fc.integer({ min: -25, max: 25 }),
   choice: fc.nat(30),
 });
 
-describe("idempotency ledger", () => {
-  describe("over resends, owner changes, skewed clocks and a bounded memory", () => {
+describe("IdempotencyLedger", () => {
+  describe("over retries, owner changes, clock skew and bounded retention", () => {
     it("lets no request run twice", () => {
       const property = fc.property(
         fc.array(event, { maxLength: 60 }),
         (events) => {
           let ledger = IdempotencyLedger.create(LIMITS);
           let nowMs = 10_000;
-          let tenureSinceMs = nowMs;
-          const sent: { name: string; firstSentMs: number }[] = [];
+          let leaseStartedAtMs = nowMs;
+          const sent: { idempotencyKey: string; firstSentMs: number }[] = [];
           const runs = new Map<string, number>();
           const claim = (
-            request: { name: string; firstSentMs: number },
+            request: { idempotencyKey: string; firstSentMs: number },
             firstAttempt: boolean,
           ) => {
-            const verdict = ledger.claim({
+            const claimed = ledger.claim({
               ...request,
-              fingerprint: request.name,
+              fingerprint: request.idempotencyKey,
               firstAttempt,
-            }, { nowMs, tenureSinceMs });
-            if (verdict.kind === "run") {
-              runs.set(request.name, (runs.get(request.name) ?? 0) + 1);
+            }, { nowMs, leaseStartedAtMs });
+            if (claimed.kind === "run") {
+              runs.set(
+                request.idempotencyKey,
+                (runs.get(request.idempotencyKey) ?? 0) + 1,
+              );
             }
           };
-          events.forEach(({ kind, timeMs, skewMs, choice }, index) => {
-            nowMs += timeMs;
+          events.forEach(({ kind, elapsedMs, skewMs, choice }, index) => {
+            nowMs += elapsedMs;
             const earlier = sent[choice % Math.max(1, sent.length)];
             if (kind === "send") {
               const request = {
-                name: `request-${index}`,
+                idempotencyKey: `request-${index}`,
                 firstSentMs: nowMs + skewMs,
               };
               sent.push(request);
               claim(request, true);
             } else if (kind === "change_owner") {
               ledger = IdempotencyLedger.create(LIMITS);
-              tenureSinceMs = nowMs + skewMs;
-            } else if (earlier !== undefined && kind === "resend") {
+              leaseStartedAtMs = nowMs + skewMs;
+            } else if (earlier !== undefined && kind === "retry") {
               claim(earlier, false);
             } else if (earlier !== undefined) {
-              ledger.recordAnswer(
-                earlier.name,
+              ledger.recordResponse(
+                earlier.idempotencyKey,
                 kind === "answer"
                   ? { status: 201, headers: {}, body: new Uint8Array() }
                   : undefined,
               );
             }
-            runs.forEach((count, name) => expect(count, name).to.equal(1));
+            runs.forEach((count, idempotencyKey) =>
+              expect(count, idempotencyKey).to.equal(1)
+            );
           });
         },
       );
@@ -80,28 +85,28 @@
     });
   });
 
-  describe("a resend", () => {
+  describe("for a retry", () => {
     const request = {
-      name: "order",
+      idempotencyKey: "order",
       fingerprint: "a",
       firstSentMs: 2_000,
       firstAttempt: true,
     };
-    const at = { nowMs: 2_000, tenureSinceMs: 0 };
+    const at = { nowMs: 2_000, leaseStartedAtMs: 0 };
 
-    it("gets the first answer", () => {
+    it("returns the first response", () => {
       const ledger = IdempotencyLedger.create(LIMITS);
-      const answer = { status: 201, headers: {}, body: new Uint8Array([1]) };
+      const response = { status: 201, headers: {}, body: new Uint8Array([1]) };
       expect(ledger.claim(request, at).kind).to.equal("run");
       expect(ledger.claim(request, at).kind).to.equal("running");
-      ledger.recordAnswer("order", answer);
+      ledger.recordResponse("order", response);
       expect(ledger.claim(request, at)).to.deep.equal({
         kind: "answer",
-        answer,
+        response,
       });
     });
 
-    it("that is another request under the same key is refused", () => {
+    it("refuses a different request under the same key", () => {
       const ledger = IdempotencyLedger.create(LIMITS);
       ledger.claim(request, at);
       expect(ledger.claim({ ...request, fingerprint: "b" }, at).kind).to.equal(
@@ -109,7 +114,7 @@
       );
     });
 
-    it("may run after the first surely did not", () => {
+    it("lets it run after the first attempt certainly did not", () => {
       const ledger = IdempotencyLedger.create(LIMITS);
       ledger.claim(request, at);
       ledger.release("order");
@@ -118,8 +123,8 @@
     });
   });
 
-  describe("first-sent time", () => {
-    it("is read from a UUID of version 7 and from nothing else", () => {
+  describe("readFirstSentMs", () => {
+    it("reads the time from a UUID of version 7 and from nothing else", () => {
       expect(readFirstSentMs("018f3b2a-7c00-7abc-8def-0123456789ab")).to.equal(
         0x018f3b2a7c00,
       );
--- /dev/null
+++ b/packages/connections/src/caller_connections_test.ts
@@ -0,0 +1,391 @@
+/**
+ * Tests of how connections of an HTTP server are closed when callers read slowly.
+ *
+ * @module
+ */
+import {
+  createServer,
+  type IncomingMessage,
+  type Server,
+  type ServerResponse,
+} from "node:http";
+import { type AddressInfo, connect, type Socket } from "node:net";
+import { setTimeout as sleep } from "node:timers/promises";
+import { expect } from "chai";
+import {
+  CallerConnections,
+  type MalformedInput,
+} from "./caller_connections.ts";
+
+/** More than is received for a caller that does not read, and less than the operating system buffers, in bytes. */
+const RESPONSE_BYTES = 1_000_000;
+/** More than the operating system buffers for a caller that does not read, in bytes. */
+const UNSENT_BYTES = 32_000_000;
+/** More than Node.js reads of a body that has no reader, in bytes. */
+const BODY_BYTES = 300_000;
+
+/** How much of the received text a caller keeps, in characters. */
+const TEXT_LENGTH = 500;
+const MALFORMED_BYTES = "\u0001 no request\r\n\r\n";
+
+type Handle = (incoming: IncomingMessage, response: ServerResponse) => void;
+
+/** A caller that reads only when the test calls one of its methods. */
+class Caller {
+  bytes = 0;
+  /** The first bytes received, as text. */
+  text = "";
+  isEnded = false;
+
+  private constructor(private readonly socket: Socket) {
+    socket.pause();
+    socket.on("error", () => undefined);
+    socket.on("close", () => {
+      this.isEnded = true;
+    });
+    socket.on("data", (chunk) => {
+      this.bytes += chunk.length;
+      this.text = `${this.text}${chunk}`.slice(0, TEXT_LENGTH);
+    });
+  }
+
+  static async create(server: Server): Promise<Caller> {
+    const { port } = server.address() as AddressInfo;
+    const socket = connect({ port, host: "127.0.0.1", allowHalfOpen: true });
+    socket.on("end", () => socket.end());
+    await new Promise<void>((resolve) => socket.once("connect", resolve));
+    return new Caller(socket);
+  }
+
+  /** Sends the headers of a request, or bytes of a body. */
+  async send(bytes: string | Buffer): Promise<void> {
+    await new Promise<void>((resolve) =>
+      this.socket.write(bytes, () => resolve())
+    );
+  }
+
+  /** Reads until the connection has ended. */
+  async readToEnd(): Promise<void> {
+    this.socket.resume();
+    await until(() => this.isEnded);
+  }
+
+  /** Reads until at least `bytes` bytes have been received. */
+  async read(bytes: number): Promise<void> {
+    this.socket.resume();
+    await until(() => this.isEnded || this.bytes >= bytes);
+  }
+
+  /** Closes the sending side; responses can still be received. */
+  end(): void {
+    this.socket.end();
+  }
+
+  close(): void {
+    this.socket.destroy();
+  }
+}
+
+async function until(condition: () => boolean): Promise<void> {
+  while (!condition()) {
+    await sleep(5);
+  }
+}
+
+function createHeaders(method: string, path: string, bytes: number): string {
+  return `${method} ${path} HTTP/1.1\r\nhost: shop.example\r\ncontent-length: ${bytes}\r\n\r\n`;
+}
+
+describe("CallerConnections", function () {
+  this.timeout(10_000);
+  let server: Server;
+  let connections: CallerConnections;
+  let handle: Handle;
+  let caller: Caller;
+  let malformedInputs: MalformedInput[];
+
+  beforeEach(async () => {
+    malformedInputs = [];
+    server = createServer((incoming, response) => handle(incoming, response));
+    connections = CallerConnections.create(server, {
+      onMalformedInput: (input) => malformedInputs.push(input),
+    });
+    await new Promise<void>((resolve) =>
+      server.listen(0, "127.0.0.1", resolve)
+    );
+    const accepted = new Promise((resolve) =>
+      server.once("connection", resolve)
+    );
+    caller = await Caller.create(server);
+    await accepted;
+  });
+
+  afterEach(() => {
+    caller.close();
+    server.closeAllConnections();
+    server.close();
+  });
+
+  describe("with a request that has a body after the last response", () => {
+    // Guards against a truncated response: the body of a request after the last response is not read, and Node.js stops
+    // reading after 16 kB of an unread body. That the caller has ended the connection is not detected, the connection
+    // is closed 1 s later with the rest of the body unread, and that reset discards 804 of 1,000 kB of the response.
+    it("delivers the complete response", async () => {
+      handle = (incoming, response) => {
+        if (connections.discardAfterLastResponse(incoming)) {
+          return;
+        }
+        connections.closeAfterNextResponse(incoming.socket);
+        response.writeHead(200, {
+          "content-length": RESPONSE_BYTES,
+          connection: "close",
+        });
+        response.end(Buffer.alloc(RESPONSE_BYTES));
+      };
+      await caller.send(createHeaders("GET", "/large", 0));
+      await until(() =>
+        connections.busyCount === 1 && connections.unsentBytes === 0
+      );
+      await caller.send(createHeaders("POST", "/behind", BODY_BYTES));
+      await caller.send(Buffer.alloc(BODY_BYTES));
+      await until(() => connections.busyCount === 0);
+      await caller.readToEnd();
+      expect(caller.bytes).to.be.greaterThan(RESPONSE_BYTES);
+    });
+  });
+
+  describe("with a response that was sent before the body of its request arrived", () => {
+    // Guards against a connection that stays busy forever: a request rejected by its headers is answered while its body
+    // is still being sent. The body is counted as a partial further request, and a stopping daemon waits for the
+    // connection until its grace period expires.
+    it("has nothing in flight once the body has arrived", async () => {
+      let hasBodyArrived = false;
+      handle = (incoming, response) => {
+        incoming.once("end", () => {
+          hasBodyArrived = true;
+        });
+        response.writeHead(503, { "content-length": "0" });
+        response.end();
+      };
+      await caller.send(createHeaders("POST", "/refused", BODY_BYTES));
+      await caller.read(1);
+      await caller.send(Buffer.alloc(BODY_BYTES));
+      await until(() => hasBodyArrived);
+      // The request closes in the turn after its end.
+      await sleep(20);
+      expect(connections.busyCount).to.equal(0);
+    });
+  });
+
+  describe("with an idle connection whose caller sends again", () => {
+    // Guards against a truncated response: an idle connection is closed at once while a slow caller is still receiving
+    // its response. The caller's next, pipelined request reaches a closed connection, and the reset discards 804 of
+    // 1,000 kB of the response.
+    it("delivers the complete response", async () => {
+      handle = (_incoming, response) => {
+        response.writeHead(200, { "content-length": RESPONSE_BYTES });
+        response.end(Buffer.alloc(RESPONSE_BYTES));
+      };
+      let hasResponseClosed = false;
+      server.on("request", (_incoming, response) => {
+        response.once("close", () => {
+          hasResponseClosed = true;
+        });
+      });
+      await caller.send(createHeaders("GET", "/large", 0));
+      await until(() => hasResponseClosed && connections.busyCount === 0);
+      connections.closeIdle();
+      await caller.send(createHeaders("GET", "/ahead", 0));
+      await sleep(50);
+      await caller.readToEnd();
+      expect(caller.bytes).to.be.greaterThan(RESPONSE_BYTES);
+    });
+  });
+
+  describe("with a request after one that ends the connection", () => {
+    // Guards against running a request that its caller must assume unread: a stopping daemon marks the response of each
+    // request as the last one of its connection, and still runs requests that arrive before that response is sent.
+    it("does not run it", async () => {
+      const handledResponses: ServerResponse[] = [];
+      handle = (incoming, response) => {
+        if (connections.discardAfterLastResponse(incoming)) {
+          return;
+        }
+        handledResponses.push(response);
+        response.shouldKeepAlive = false;
+      };
+      let read = 0;
+      server.on("request", () => {
+        read += 1;
+      });
+      await caller.send(createHeaders("GET", "/last", 0));
+      await until(() => read === 1);
+      await caller.send(createHeaders("POST", "/behind", 0));
+      await until(() => read === 2);
+      handledResponses[0]!.end();
+      await caller.readToEnd();
+      expect(handledResponses.map(({ req }) => req.url)).to.deep.equal([
+        "/last",
+      ]);
+    });
+  });
+
+  describe("with a connection accepted just before the listener closes", () => {
+    // Guards against a request that is never answered: idle connections are ended in the same turn of the event loop in
+    // which the listener closes. A connection accepted in that turn, immediately followed by its request, is ended,
+    // too, so the request is read on an ended connection. Node.js itself treats a connection as idle only after its
+    // first request.
+    it("answers its request", async () => {
+      handle = (incoming, response) => {
+        if (!connections.discardAfterLastResponse(incoming)) {
+          response.end("done");
+        }
+      };
+      server.once("connection", () => {
+        connections.stopListening();
+        connections.closeIdle();
+      });
+      const lateCaller = await Caller.create(server);
+      await lateCaller.send(createHeaders("GET", "/first", 0));
+      await lateCaller.read(1);
+      expect(lateCaller.bytes).to.be.greaterThan(0);
+      lateCaller.close();
+    });
+
+    it("closes it soon if no request arrives", async () => {
+      server.once("connection", () => connections.stopListening());
+      const lateCaller = await Caller.create(server);
+      await until(() => {
+        connections.closeIdle();
+        return connections.busyCount === 0;
+      });
+      await lateCaller.readToEnd();
+      expect(lateCaller.bytes).to.equal(0);
+    });
+  });
+
+  describe("with malformed bytes after a request", () => {
+    // Guards against a valid request that is aborted by the 400 for the bytes after it.
+    it("answers that request, and closes after its response", async () => {
+      const handledResponses: ServerResponse[] = [];
+      handle = (_incoming, response) => void handledResponses.push(response);
+      await caller.send(createHeaders("GET", "/proper", 0));
+      await until(() => handledResponses.length === 1);
+      await caller.send(MALFORMED_BYTES);
+      await caller.send(MALFORMED_BYTES);
+      await until(() => malformedInputs.length > 0);
+      handledResponses[0]!.end("done");
+      await caller.readToEnd();
+      expect(caller.text).to.match(/^HTTP\/1\.1 200 OK\r\n/)
+        .and.to.match(/\r\nConnection: close\r\n/)
+        .and.to.match(/\r\n\r\ndone$/);
+    });
+
+    // Guards against a response that is truncated because of the bytes after its request.
+    it("delivers all of a response that has begun", async () => {
+      handle = (_incoming, response) => {
+        response.writeHead(200, { "content-length": UNSENT_BYTES });
+        response.end(Buffer.alloc(UNSENT_BYTES));
+      };
+      await caller.send(createHeaders("GET", "/large", 0));
+      await until(() => connections.busyCount === 1);
+      await caller.send(MALFORMED_BYTES);
+      await until(() => malformedInputs.length > 0);
+      await caller.readToEnd();
+      expect(caller.bytes).to.be.greaterThan(UNSENT_BYTES);
+    });
+  });
+
+  describe("with a caller that closes its sending side within a further request", () => {
+    // Guards against a valid request that is answered with the 400 for the bytes after it.
+    it("treats the caller as disconnected, and writes nothing", async () => {
+      let hasClosed = false;
+      handle = (_incoming, response) => {
+        response.once("close", () => {
+          hasClosed = true;
+        });
+      };
+      await caller.send(createHeaders("GET", "/proper", 0) + "GET /part HT");
+      caller.end();
+      await caller.readToEnd();
+      await until(() => hasClosed);
+      expect(caller.text).to.equal("");
+    });
+  });
+
+  describe("with malformed bytes and no request before them", () => {
+    it("answers 400 and closes", async () => {
+      await caller.send(MALFORMED_BYTES);
+      await caller.readToEnd();
+      expect(caller.text).to.match(/^HTTP\/1\.1 400 Bad Request\r\n/);
+    });
+  });
+
+  describe("with a request whose body is malformed", () => {
+    const headers =
+      "POST /cut HTTP/1.1\r\nhost: shop.example\r\ntransfer-encoding: chunked\r\n\r\n";
+
+    beforeEach(() => {
+      handle = (incoming, response) => {
+        const chunks: Buffer[] = [];
+        incoming.on("data", (chunk: Buffer) => chunks.push(chunk));
+        incoming.on("end", () => response.end(Buffer.concat(chunks)));
+      };
+    });
+
+    // Guards against a request that is never answered because the end of its body can no longer arrive.
+    it("answers 400 and closes", async () => {
+      await caller.send(`${headers}no size\r\n`);
+      await until(() => malformedInputs.length > 0);
+      await caller.readToEnd();
+      expect(caller.text).to.match(/^HTTP\/1\.1 400 Bad Request\r\n/);
+    });
+
+    // Guards against a stopping daemon that waits for such a connection until its grace period expires.
+    it("has nothing in flight afterwards", async () => {
+      await caller.send(`${headers}no size\r\n`);
+      await until(() => malformedInputs.length > 0);
+      await until(() => connections.busyCount === 0);
+    });
+
+    // Guards against a valid request that is answered as if its connection could be reused.
+    it("answers the request before it as the last one", async () => {
+      await caller.send(createHeaders("GET", "/proper", 0));
+      await caller.send(`${headers}no size\r\n`);
+      await until(() => malformedInputs.length > 0);
+      await caller.readToEnd();
+      expect(caller.text).to.match(/^HTTP\/1\.1 200 OK\r\n/);
+    });
+  });
+
+  describe("with a caller that continues to send malformed bytes", () => {
+    // Guards against counting one request once per chunk of the bytes after it.
+    it("reports them once", async () => {
+      handle = () => undefined;
+      await caller.send(createHeaders("GET", "/proper", 0));
+      await caller.send(MALFORMED_BYTES);
+      await until(() => malformedInputs.length > 0);
+      await caller.send(MALFORMED_BYTES);
+      await sleep(50);
+      expect(malformedInputs.map(({ code }) => code)).to.deep.equal([
+        "HPE_INVALID_METHOD",
+      ]);
+    });
+  });
+
+  describe("with a partial request of which no more arrives", () => {
+    // Guards against a stopping daemon that is held up until its grace period expires by one caller that stopped in the
+    // middle of its headers: partial headers, or a stray line break after a request, keep a connection busy until its
+    // next response.
+    it("closes it after a timeout", async () => {
+      await caller.send("GET /part HTT");
+      await until(() => connections.busyCount === 1);
+      await until(() => {
+        connections.closeIdle();
+        return connections.busyCount === 0;
+      });
+      await caller.readToEnd();
+      expect(caller.bytes).to.equal(0);
+    });
+  });
+});
--- a/packages/connections/src/mod.ts
+++ b/packages/connections/src/mod.ts
@@ -1,10 +1,10 @@
 /**
- * Ends the connections of an HTTP server without cutting answers.
+ * Closes the connections of an HTTP server without truncating responses.
  *
  * @module
  */
 export {
+  CallerConnections,
   type ConnectionListeners,
-  ServerConnections,
-  type UnreadableInput,
-} from "./server_connections.ts";
+  type MalformedInput,
+} from "./caller_connections.ts";
--- a/packages/daemon/src/daemon_status.ts
+++ b/packages/daemon/src/daemon_status.ts
@@ -4,27 +4,27 @@
  * @module
  */
 import type { DaemonSettings } from "./daemon_settings.ts";
-import type { Entrance } from "./entrance.ts";
+import type { RequestRouter } from "./request_router.ts";
 import type { Fleet } from "./fleet.ts";
 import type { Planner } from "./planner.ts";
-import type { SessionKeeper } from "./session_keeper.ts";
-import type { SlotGate } from "./slot_gate.ts";
+import type { SessionManager } from "./session_manager.ts";
+import type { SlotLimiter } from "./slot_limiter.ts";
 import type { StoreFollower } from "./store_follower.ts";
 
-/** Describes a daemon as plain data. */
+/** Returns the status of a daemon as plain data, as the admin server sends it. */
 export function describeStatus(
   parts: {
     settings: DaemonSettings;
     fleet: Fleet;
-    keeper: SessionKeeper;
+    sessionManager: SessionManager;
     planner: Planner;
     follower: StoreFollower;
-    gate: SlotGate;
-    entrance: Entrance;
+    slotLimiter: SlotLimiter;
+    router: RequestRouter;
     nowMs: number;
   },
 ): unknown {
-  const session = parts.keeper.current;
+  const session = parts.sessionManager.current;
   return {
     host: parts.settings.host,
     availability_zone: parts.settings.availability_zone,
@@ -39,9 +39,9 @@
     configuration_version: parts.fleet.configuration?.version.version ?? 0,
     revision: parts.fleet.revision,
     requests: {
-      ...parts.gate.counts,
-      under_way: parts.entrance.activeCount,
-      for_owner: parts.entrance.waitingCount,
+      ...parts.slotLimiter.counts,
+      under_way: parts.router.activeCount,
+      for_owner: parts.router.waitingCount,
     },
   };
 }
--- a/packages/keyspace/src/mod.ts
+++ b/packages/keyspace/src/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Decides which backend server owns which range of keys, and for how long. Pure: time comes in,
- * decisions go out.
+ * Decides which backend server owns which range of keys, and for how long. Without side effects: the current time is
+ * passed in, decisions are returned.
  *
  * @module
  */
@@ -30,12 +30,12 @@
   TakeoverTimers,
 } from "./ownership_lease.ts";
 export {
-  DEFAULT_HOLD_MS,
-  type FreedRange,
   type Grant,
   type GrantedRange,
   GrantTracker,
   type HeldRange,
+  MAX_HOLD_MS,
+  type ReleasedRange,
 } from "./grant_tracker.ts";
 export {
   assignUnowned,
--- a/packages/membership/src/membership_test.ts
+++ b/packages/membership/src/membership_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of gossip: what travels, what is believed, and how fast it spreads.
+ * Tests of gossip: its encoding, how reports are merged, and how fast they propagate.
  *
  * @module
  */
@@ -14,9 +14,9 @@
   return {
     address: "10.0.0.1:7000",
     incarnation: 1,
-    beat: 0,
+    sequence: 0,
     availabilityZone: "zone-a",
-    forwardAddress: "10.0.0.1:8000",
+    peerAddress: "10.0.0.1:8000",
     service: "quotes",
     phase: "ready",
     slots: 6,
@@ -31,12 +31,12 @@
   };
 }
 
-/** Time between two rounds, in milliseconds. */
-const ROUND_MS = 500;
-/** How long a replay of a large fleet may take on a busy machine, in milliseconds. */
-const PLAYED_MS = 120_000;
+/** Interval between gossip rounds. */
+const GOSSIP_INTERVAL_MS = 500;
+/** Allows for a busy machine, on which the simulation of a large fleet takes long. */
+const SIMULATION_TIMEOUT_MS = 120_000;
 
-/** A generator of numbers that is the same in each run. */
+/** A pseudo-random generator that returns the same numbers in each run. */
 function seededRandom(seed: number): () => number {
   let state = seed;
   return () => {
@@ -46,20 +46,27 @@
 }
 
 describe("gossip codec", () => {
-  describe("for a message", () => {
-    it("brings back what was sent", () => {
+  describe("with a valid message", () => {
+    it("decodes what was encoded", () => {
       const message = {
         sender: "10.0.0.9:7000",
         reports: [report()],
-        beats: [{ name: 2 ** 32 - 1, incarnation: 255, beat: 2 ** 32 - 1 }],
+        digests: [{
+          addressHash: 2 ** 32 - 1,
+          incarnation: 255,
+          sequence: 2 ** 32 - 1,
+        }],
       };
       const decoded = decodeGossip(encodeGossip(message));
-      expect(decoded._unsafeUnwrap()).to.deep.equal({ ...message, leftOut: 0 });
+      expect(decoded._unsafeUnwrap()).to.deep.equal({
+        ...message,
+        skippedReports: 0,
+      });
     });
   });
 
-  describe("for bytes from anywhere", () => {
-    it("refuses them without throwing", () => {
+  describe("with arbitrary bytes", () => {
+    it("rejects them without throwing", () => {
       const property = fc.property(
         fc.uint8Array({ maxLength: 60 }),
         (bytes) => {
@@ -72,36 +79,37 @@
 });
 
 describe("member view", () => {
-  describe("when reports overtake each other", () => {
-    it("keeps the newer one", () => {
+  describe("when reports arrive out of order", () => {
+    it("keeps the newest one", () => {
       const view = MemberView.create(report({ address: "own" }));
-      view.merge([report({ beat: 5, slots: 9 })], 0);
-      view.merge([report({ beat: 4, slots: 1 })], 10);
+      view.merge([report({ sequence: 5, slots: 9 })], 0);
+      view.merge([report({ sequence: 4, slots: 1 })], 10);
       expect(view.find("10.0.0.1:7000")?.slots).to.equal(9);
     });
   });
 
   describe("when a daemon's reports stop", () => {
-    it("takes it for silent, and for alive once they go on", () => {
+    it("considers it unresponsive, and alive again once they resume", () => {
       const view = MemberView.create(report({ address: "own" }));
-      view.merge([report({ beat: 1 })], 0);
-      expect(view.alive(view.silentAfterMs)).to.have.length(1);
-      expect(view.alive(view.silentAfterMs + 1)).to.have.length(0);
-      view.merge([report({ beat: 2 })], 5_000);
+      view.merge([report({ sequence: 1 })], 0);
+      expect(view.alive(view.unresponsiveTimeoutMs)).to.have.length(1);
+      expect(view.alive(view.unresponsiveTimeoutMs + 1)).to.have.length(0);
+      view.merge([report({ sequence: 2 })], 5_000);
       expect(view.alive(5_000)).to.have.length(1);
     });
   });
 
-  describe("when others still tell of an earlier process at the own address", () => {
-    // Symptom: a restarted daemon stays silent to the others for as long as its earlier life was long.
-    // Sequence: it restarts and counts its beats from 0; the others know a higher beat.
-    // Cause: its reports looked older than what they knew.
-    it("goes before them with a new incarnation", () => {
-      const restarted = MemberView.create(report({ address: "own", beat: 0 }));
-      restarted.merge([report({ address: "own", beat: 400 })], 0);
+  describe("when others hold a report of an earlier process at this daemon's address", () => {
+    // Guards against a restarted daemon that the others consider unresponsive for as long as its earlier process
+    // had run: its sequence numbers restart at 0, so its reports look older than the known one.
+    it("supersedes it with a new incarnation", () => {
+      const restarted = MemberView.create(
+        report({ address: "own", sequence: 0 }),
+      );
+      restarted.merge([report({ address: "own", sequence: 400 })], 0);
       const other = MemberView.create(report({ address: "other" }));
-      other.merge([report({ address: "own", beat: 400 })], 0);
-      restarted.beat({});
+      other.merge([report({ address: "own", sequence: 400 })], 0);
+      restarted.updateOwnReport({});
       other.merge([restarted.ownReport], 9_000);
       expect(other.alive(9_000).map(({ address }) => address)).to.deep.equal([
         "own",
@@ -109,8 +117,8 @@
     });
   });
 
-  /** Plays rounds of gossip among daemons of which a tenth of the datagrams are lost; returns all views. */
-  function playGossip(size: number, rounds: number): MemberView[] {
+  /** Simulates gossip rounds in which 10 % of the datagrams are lost; returns the views of all daemons. */
+  function simulateGossip(size: number, rounds: number): MemberView[] {
     const random = seededRandom(7);
     const views = Array.from({ length: size }, (_, index) => {
       const view = MemberView.create(
@@ -119,95 +127,98 @@
           availabilityZone: `zone-${index % 3}`,
         }),
       );
-      Array.from({ length: size }, (_, other) => view.name(`d${other}`));
+      Array.from({ length: size }, (_, other) => view.addAddress(`d${other}`));
       return view;
     });
     const byAddress = new Map(
       views.map((view) => [view.ownReport.address, view]),
     );
-    const tell = (from: MemberView, to: MemberView, nowMs: number) => {
+    const send = (from: MemberView, to: MemberView, nowMs: number) => {
       to.merge(from.chooseReports({ nowMs, random }), nowMs);
-      const lacking = to.mergeBeats(from.chooseBeats({ nowMs, random }), nowMs);
-      to.merge(from.findReports(lacking), nowMs);
+      const missingReports = to.mergeDigests(
+        from.chooseDigests({ nowMs, random }),
+        nowMs,
+      );
+      to.merge(from.findReports(missingReports), nowMs);
     };
     Array.from({ length: rounds }, (_, round) => {
-      const nowMs = round * ROUND_MS;
+      const nowMs = round * GOSSIP_INTERVAL_MS;
       views.forEach((view) => {
-        view.beat({});
+        view.updateOwnReport({});
         chooseGossipTargets(view, { nowMs, random })
           .filter(() => random() > 0.1)
-          .forEach((address) => tell(view, byAddress.get(address)!, nowMs));
+          .forEach((address) => send(view, byAddress.get(address)!, nowMs));
       });
     });
     return views;
   }
 
-  // Symptom: at 195 daemons a lost one is believed alive for 10 s, and living ones are taken for silent.
-  // Sequence: each datagram tells of 8 daemons; of the others one hears again after seconds, by chance.
-  // Cause: that a daemon lives was told only together with all that is known of it.
+  // Guards against slow failure detection: at 195 daemons a lost one counts as alive for 10 s, and alive ones as
+  // unresponsive. If sequence numbers were sent only as part of full reports, with 8 reports per datagram, those of a
+  // given daemon would arrive at random times, seconds apart.
   [72, 195].forEach((size) => {
-    describe(`among ${size} daemons in three availability zones`, () => {
-      it("takes nobody for silent, although a tenth of the datagrams are lost", function () {
-        // Time is played: a busy machine takes longer for the same.
-        this.timeout(PLAYED_MS);
+    describe(`with ${size} daemons in three availability zones`, () => {
+      it("considers no daemon unresponsive, although 10 % of the datagrams are lost", function () {
+        // Simulated time doesn't depend on the machine, but a busy machine takes longer to run the simulation.
+        this.timeout(SIMULATION_TIMEOUT_MS);
         const rounds = 24;
-        const views = playGossip(size, rounds);
+        const views = simulateGossip(size, rounds);
         const known = views.map((view) =>
-          view.alive((rounds - 1) * ROUND_MS).length
+          view.alive((rounds - 1) * GOSSIP_INTERVAL_MS).length
         );
         expect(Math.min(...known)).to.equal(size - 1);
       });
     });
   });
 
-  describe("when digests tell of a daemon that is not known", () => {
-    it("names it, to be asked for", () => {
-      const told = MemberView.create(report({ address: "told" }));
-      told.merge([report({ address: "third", beat: 4 })], 0);
+  describe("when digests contain an unknown daemon", () => {
+    it("returns its address hash, so that its report can be requested", () => {
+      const sender = MemberView.create(report({ address: "sender" }));
+      sender.merge([report({ address: "third", sequence: 4 })], 0);
       const other = MemberView.create(report({ address: "other" }));
       const random = seededRandom(3);
-      const lacking = other.mergeBeats(
-        told.chooseBeats({ nowMs: 0, random }),
+      const missingReports = other.mergeDigests(
+        sender.chooseDigests({ nowMs: 0, random }),
         0,
       );
-      other.merge(told.findReports(lacking), 0);
-      expect(other.find("third")?.beat).to.equal(4);
+      other.merge(sender.findReports(missingReports), 0);
+      expect(other.find("third")?.sequence).to.equal(4);
     });
 
-    it("takes the beat of an earlier process for nothing", () => {
+    it("ignores the sequence number of an earlier process", () => {
       const view = MemberView.create(report({ address: "own" }));
-      const earlier = MemberView.create(report({ address: "x", beat: 90 }));
-      view.merge([report({ address: "x", incarnation: 2, beat: 1 })], 0);
+      const earlier = MemberView.create(report({ address: "x", sequence: 90 }));
+      view.merge([report({ address: "x", incarnation: 2, sequence: 1 })], 0);
       const random = seededRandom(3);
-      view.mergeBeats(earlier.chooseBeats({ nowMs: 0, random }), 5_000);
+      view.mergeDigests(earlier.chooseDigests({ nowMs: 0, random }), 5_000);
       expect(view.alive(5_000)).to.have.length(0);
     });
   });
 
-  describe("when a daemon starts again after the others took it for silent", () => {
-    // Symptom: nobody sends work to a restarted daemon for as long as its earlier process had run.
-    // Sequence: it is away for 10 s, is silent to all by then, and counts its beats from 0.
-    // Cause: its reports looked older than what was known, and nobody told it of those any more.
-    it("hears of its earlier process, and goes before it", () => {
+  describe("when a daemon restarts after the others considered it unresponsive", () => {
+    // Guards against a restarted daemon that gets no requests for as long as its earlier process had run: it is absent
+    // for 10 s, so that all others consider it unresponsive and no longer send it the known report, and its own reports
+    // look older because its sequence numbers restart at 0.
+    it("learns of its earlier process and supersedes it", () => {
       const random = seededRandom(5);
       const other = MemberView.create(report({ address: "other" }));
-      other.merge([report({ address: "back", beat: 400 })], 0);
-      const back = MemberView.create(report({ address: "back" }));
+      other.merge([report({ address: "back", sequence: 400 })], 0);
+      const restarted = MemberView.create(report({ address: "back" }));
       const nowMs = 10_000;
-      back.merge([other.ownReport], nowMs);
-      const lacking = back.mergeBeats(
-        other.chooseBeats({ nowMs, random }),
+      restarted.merge([other.ownReport], nowMs);
+      const missingReports = restarted.mergeDigests(
+        other.chooseDigests({ nowMs, random }),
         nowMs,
       );
-      back.merge(other.findReports(lacking), nowMs);
-      back.beat({});
-      other.merge([back.ownReport], nowMs);
+      restarted.merge(other.findReports(missingReports), nowMs);
+      restarted.updateOwnReport({});
+      other.merge([restarted.ownReport], nowMs);
       expect(other.alive(nowMs)).to.have.length(1);
-      const settled = back.mergeBeats(
-        other.chooseBeats({ nowMs, random }),
+      const missingAfterwards = restarted.mergeDigests(
+        other.chooseDigests({ nowMs, random }),
         nowMs,
       );
-      expect(settled).to.deep.equal([]);
+      expect(missingAfterwards).to.deep.equal([]);
     });
   });
 });
--- a/packages/membership/src/mod.ts
+++ b/packages/membership/src/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Decides which daemons are alive, from what they say of themselves and of each other. Pure: time and
- * randomness come in, decisions go out.
+ * Failure detection by gossip: determines which daemons are alive from status reports that daemons exchange and
+ * forward. No I/O; time and randomness are parameters.
  *
  * @module
  */
@@ -10,8 +10,8 @@
   encodeGossip,
   type GossipMessage,
 } from "./gossip_codec.ts";
-export type { BeatDigest } from "./beat_digest.ts";
+export type { HeartbeatDigest } from "./heartbeat_digest.ts";
 export { MemberView } from "./member_view.ts";
 export { chooseGossipTargets } from "./gossip_targets.ts";
-export { pickSome } from "./pick_some.ts";
-export { WatchWaits } from "./watch_waits.ts";
+export { sampleWithoutReplacement } from "./sample_without_replacement.ts";
+export { WatchPollSchedule } from "./watch_poll_schedule.ts";
--- a/packages/quarantine/src/mod.ts
+++ b/packages/quarantine/src/mod.ts
@@ -1,10 +1,11 @@
 /**
- * Decides which requests are kept from backend servers, because servers ended under them. Pure.
+ * Decides which requests are withheld from backend servers because servers crashed while running them. No I/O: time and
+ * randomness are parameters.
  *
  * @module
  */
 export { chooseProbationDaemon } from "./choose_probation_daemon.ts";
-export { type LostRun, LostRuns } from "./lost_runs.ts";
+export { type InterruptedRun, InterruptedRuns } from "./interrupted_runs.ts";
 export { ProbationQueue } from "./probation_queue.ts";
 export { RecentResponses } from "./recent_responses.ts";
 export {
--- a/packages/router/src/probe_backend.ts
+++ b/packages/router/src/probe_backend.ts
@@ -1,18 +1,23 @@
 /**
- * Asks at a backend server's address who is there.
+ * Determines which incarnation of a backend server listens at an address.
  *
  * @module
  */
 import type { ProbeResult } from "@bamboolink/keyspace";
 import { Cancellation } from "./cancellation.ts";
-import { steadyMs } from "./clock.ts";
+import { monotonicMs } from "./clock.ts";
 import { Connection } from "./exchange.ts";
 import type { BackendProtocol } from "./ports/backend_protocol.ts";
 
-/** How long the backend server may take to say which incarnation it is, in milliseconds. */
+/** How long the backend server may take to respond to the health check, in milliseconds. */
 const PROBE_TIMEOUT_MS = 400;
 
-/** Asks by a health check, on a connection of its own. */
+/**
+ * Sends a health check on a separate connection.
+ *
+ * @returns the incarnation that responded, or whether the connection was refused; `silent` if there was no usable
+ *   response before the timeout.
+ */
 export async function probeBackend(
   address: string,
   options: { protocol: BackendProtocol; healthPath: string },
@@ -25,7 +30,7 @@
     body: undefined,
   }, {
     cancellation: Cancellation.createWithTimeout(PROBE_TIMEOUT_MS),
-    nowMs: steadyMs,
+    nowMs: monotonicMs,
   });
   void connection.destroy();
   if (result.kind === "answer") {
--- a/soak/src/relay.ts
+++ b/soak/src/relay.ts
@@ -1,26 +1,26 @@
 /**
- * A relay on loopback between two processes, through which connections are harmed.
+ * A TCP relay on loopback between two processes, for injecting network faults into their connections.
  *
  * @module
  */
 import { connect, createServer, type Server, type Socket } from "node:net";
 
-/** How a relay treats what goes through it. */
+/** How a relay treats connections and their bytes. */
 export type RelayMode =
   | "pass"
-  /** Bytes wait a little each way. */
+  /** Bytes are delayed by `SLOW_DELAY_MS` in each direction. */
   | "slow"
-  /** Bytes from the server are kept back: one way is cut. */
+  /** Bytes from the server are dropped, those to the server pass. */
   | "one_way"
-  /** Nothing goes through, and nobody is told. */
+  /** Bytes are dropped in both directions, without an error at either end. */
   | "silent"
-  /** Connections are reset as they come. */
+  /** New connections are reset at once. */
   | "reset";
 
-/** Delay of a slow relay, in milliseconds. */
-const SLOW_MS = 60;
+/** Delay of bytes in the mode `slow`, in milliseconds. */
+const SLOW_DELAY_MS = 60;
 
-/** One relay. */
+/** A relay between one listening address and one target. */
 export class Relay {
   private mode: RelayMode = "pass";
   private readonly sockets = new Set<Socket>();
@@ -30,21 +30,21 @@
     private readonly target: { host: string; port: number },
   ) {}
 
-  /** Starts a relay at an address in front of another. */
+  /** Starts a relay that listens at `listenAddress` and connects to `target`. */
   static async create(
-    at: { host: string; port: number },
+    listenAddress: { host: string; port: number },
     target: { host: string; port: number },
   ): Promise<Relay> {
     const server = createServer();
     const relay = new Relay(server, target);
-    server.on("connection", (socket) => relay.take(socket));
+    server.on("connection", (socket) => relay.accept(socket));
     await new Promise<void>((resolve) =>
-      server.listen(at.port, at.host, resolve)
+      server.listen(listenAddress.port, listenAddress.host, resolve)
     );
     return relay;
   }
 
-  /** Changes how it treats connections; `reset` harms those that are open, too. */
+  /** Changes the mode; `reset` also resets connections that are open. */
   setMode(mode: RelayMode): void {
     this.mode = mode;
     if (mode === "reset") {
@@ -52,30 +52,30 @@
     }
   }
 
-  /** Stops it. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this.server.close();
     this.sockets.forEach((socket) => socket.destroy());
   }
 
-  private take(incoming: Socket): void {
+  private accept(incoming: Socket): void {
     if (this.mode === "reset") {
       incoming.resetAndDestroy();
       return;
     }
     const outgoing = connect(this.target);
-    this.join(incoming, { to: outgoing, isFromServer: false });
-    this.join(outgoing, { to: incoming, isFromServer: true });
+    this.forward(incoming, { to: outgoing, isFromServer: false });
+    this.forward(outgoing, { to: incoming, isFromServer: true });
   }
 
-  private join(
+  private forward(
     from: Socket,
-    way: { to: Socket; isFromServer: boolean },
+    direction: { to: Socket; isFromServer: boolean },
   ): void {
-    const { to, isFromServer } = way;
+    const { to, isFromServer } = direction;
     this.sockets.add(from);
-    from.on("data", (bytes) => this.pass(bytes, { to, isFromServer }));
-    from.on("end", () => this.isOpen(isFromServer) && to.end());
+    from.on("data", (bytes) => this.forwardBytes(bytes, { to, isFromServer }));
+    from.on("end", () => this.isForwarding(isFromServer) && to.end());
     from.on("error", () => to.destroy());
     from.on("close", () => {
       this.sockets.delete(from);
@@ -83,23 +83,26 @@
     });
   }
 
-  private isOpen(isFromServer: boolean): boolean {
+  private isForwarding(isFromServer: boolean): boolean {
     return this.mode !== "silent" &&
       !(this.mode === "one_way" && isFromServer);
   }
 
-  /** Bytes that meet a cut are lost, as they are when the cut outlasts the connection. */
-  private pass(
+  /** Drops bytes while their direction is cut, as happens when a cut lasts longer than the connection. */
+  private forwardBytes(
     bytes: Buffer,
-    way: { to: Socket; isFromServer: boolean },
+    direction: { to: Socket; isFromServer: boolean },
   ): void {
-    if (!this.isOpen(way.isFromServer)) {
+    if (!this.isForwarding(direction.isFromServer)) {
       return;
     }
     if (this.mode === "slow") {
-      setTimeout(() => way.to.writable && way.to.write(bytes), SLOW_MS);
+      setTimeout(
+        () => direction.to.writable && direction.to.write(bytes),
+        SLOW_DELAY_MS,
+      );
       return;
     }
-    way.to.write(bytes);
+    direction.to.write(bytes);
   }
 }
